--- a/core/src/gateway/directory.rs
+++ b/core/src/gateway/directory.rs
@@ -118,14 +118,14 @@
         self.members.retain(|_, m| now.since(m.seen) < REMEMBERED);
     }
 
-    /// Takes a heartbeat in.
-    pub fn hear(&mut self, now: Time, heartbeat: &Heartbeat) {
+    /// Merges a heartbeat.
+    pub fn receive(&mut self, now: Time, heartbeat: &Heartbeat) {
         let member = self.member(now, heartbeat.entry.clone());
         if heartbeat.entry.incarnation < member.entry.incarnation {
             return;
         }
         member.seen = now;
-        self.demands.hear(now, &heartbeat.demands);
+        self.demands.receive(now, &heartbeat.demands);
         for member in self.members.values_mut() {
             if let Some((at, open)) = self.demands.of(member.short)
                 && member.heard.is_none_or(|heard| heard < at)
@@ -137,9 +137,9 @@
         }
     }
 
-    /// Demand to pass on.
-    pub fn tell(&self, now: Time) -> Vec<Demand> {
-        self.demands.tell(now)
+    /// Demand to gossip.
+    pub fn gossip(&self, now: Time) -> Vec<Demand> {
+        self.demands.gossip(now)
     }
 
     /// Sensitive streams of the other gateways.
@@ -231,7 +231,7 @@
     }
 
     /// Number of live peers.
-    pub fn heard(&self, now: Time) -> usize {
+    pub fn live_peers(&self, now: Time) -> usize {
         self.members.values().filter(|m| m.is_live(now)).count()
     }
 
--- a/core/src/gateway/fleet.rs
+++ b/core/src/gateway/fleet.rs
@@ -63,7 +63,7 @@
     }
 
     /// Whether a run is listed and has sent something after `at`, to any gateway.
-    pub fn heard_since(&self, run: Digest, at: Time) -> bool {
+    pub fn active_since(&self, run: Digest, at: Time) -> bool {
         let key = self.by_digest.get(&run).copied();
         key.and_then(|key| self.replicas.get(key)).is_some_and(|replica| replica.alive > at)
     }
@@ -143,8 +143,8 @@
         std::mem::take(&mut self.updates)
     }
 
-    /// Notes that something came from a replica.
-    pub fn heard(&mut self, now: Time, key: Key<Replica>, load: Option<Load>) {
+    /// Records that something came from a replica.
+    pub fn record_activity(&mut self, now: Time, key: Key<Replica>, load: Option<Load>) {
         let Some(replica) = self.replicas.get_mut(key) else {
             return;
         };
@@ -156,8 +156,8 @@
         }
     }
 
-    /// Takes in loads that other gateways saw.
-    pub fn learn(&mut self, now: Time, sightings: &[Sighting]) {
+    /// Merges loads that other gateways saw.
+    pub fn receive(&mut self, now: Time, sightings: &[Sighting]) {
         for s in sightings {
             // What is said of a former life finds none.
             let key = self.by_digest.get(&s.replica).copied();
@@ -172,8 +172,8 @@
         }
     }
 
-    /// Loads to pass on, the youngest first.
-    pub fn tell(&self, now: Time) -> Vec<Sighting> {
+    /// Loads to gossip, the youngest first.
+    pub fn gossip(&self, now: Time) -> Vec<Sighting> {
         let mut young: Vec<Sighting> = self
             .replicas
             .iter()
--- a/core/src/gateway/gossip.rs
+++ b/core/src/gateway/gossip.rs
@@ -1,4 +1,4 @@
-//! What gateways tell one another in every heartbeat: loads of replicas and demand of gateways.
+//! What gateways gossip in every heartbeat: loads of replicas and demand of gateways.
 //!
 //! A gateway of many sees few answers of any one replica, and what it knows is old when it
 //! matters. Passed on with their age, the sightings of all gateways reach each of them within a
@@ -70,8 +70,8 @@
 }
 
 impl Demands {
-    /// Takes in what a peer says.
-    pub fn hear(&mut self, now: Time, demands: &[Demand]) {
+    /// Merges the demand that a peer gossips.
+    pub fn receive(&mut self, now: Time, demands: &[Demand]) {
         for demand in demands {
             let heard = Stamped { value: *demand, at: at(now, demand.age_ms) };
             let known = self.all.entry(demand.gateway).or_insert(heard);
@@ -82,8 +82,8 @@
         self.all.retain(|_, d| now.since(d.at) < DEMAND_LIFE);
     }
 
-    /// What to pass on, the youngest first.
-    pub fn tell(&self, now: Time) -> Vec<Demand> {
+    /// Demand to gossip, the youngest first.
+    pub fn gossip(&self, now: Time) -> Vec<Demand> {
         let mut young: Vec<Demand> = self
             .all
             .values()
--- a/core/src/gateway/pace.rs
+++ b/core/src/gateway/pace.rs
@@ -134,15 +134,15 @@
         }
     }
 
-    /// What to tell others; `None` while nothing was seen.
-    pub fn tell(&self, service: u32) -> Option<Sighting> {
+    /// What to gossip; `None` while nothing was seen.
+    pub fn gossip(&self, service: u32) -> Option<Sighting> {
         let (token_ms, weight) = (self.token_ms as f32, self.weight as f32);
         (self.weight >= 1.0).then_some(Sighting { service, token_ms, weight })
     }
 
     /// Takes in what another gateway has learnt, as far as that rests on more than is known here.
-    pub fn hear(&mut self, told: &Sighting) {
-        let (token_ms, weight) = (f64::from(told.token_ms), f64::from(told.weight));
+    pub fn receive(&mut self, received: &Sighting) {
+        let (token_ms, weight) = (f64::from(received.token_ms), f64::from(received.weight));
         let bounds = FASTEST..=SLOWEST;
         let most = 1.0 / (1.0 - KEEPS);
         if !bounds.contains(&token_ms) || !(0.0..=most).contains(&weight) {
--- a/core/src/gateway/plan.rs
+++ b/core/src/gateway/plan.rs
@@ -68,7 +68,7 @@
 /// How a received plan compares to the known one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, derive_more::Display)]
 #[display(rename_all = "snake_case")]
-pub enum Heard {
+pub enum Comparison {
     /// It is the known one.
     Same,
     /// It is an earlier one: its sender is stale.
@@ -90,24 +90,24 @@
     }
 
     /// Takes a plan in if it is a later one. One that nobody can have decided is passed over.
-    pub fn hear(&mut self, now: Time, plan: &Plan) -> Option<Heard> {
+    pub fn receive(&mut self, now: Time, plan: &Plan) -> Option<Comparison> {
         if plan.apart.len() > MOST_KINDS {
             return None;
         }
         let known = self.plans.get(&plan.service);
         match known.map(|(known, _)| plan.order().cmp(&known.order())) {
-            Some(std::cmp::Ordering::Equal) => return Some(Heard::Same),
-            Some(std::cmp::Ordering::Less) => return Some(Heard::Older),
+            Some(std::cmp::Ordering::Equal) => return Some(Comparison::Same),
+            Some(std::cmp::Ordering::Less) => return Some(Comparison::Older),
             None if self.plans.len() >= MOST_SERVICES => return None,
             _ => {}
         }
         let decided = now - Span::millis(u64::from(plan.age_ms));
         self.plans.insert(plan.service, (plan.clone(), decided));
-        Some(Heard::Newer)
+        Some(Comparison::Newer)
     }
 
-    /// All plans, to pass on.
-    pub fn tell(&self, now: Time) -> Vec<Plan> {
+    /// All plans, to gossip.
+    pub fn gossip(&self, now: Time) -> Vec<Plan> {
         let aged = |(plan, decided): &(Plan, Time)| Plan {
             age_ms: now.since(*decided).as_millis().min(60_000) as u16,
             ..plan.clone()
--- a/core/src/gateway/state.rs
+++ b/core/src/gateway/state.rs
@@ -40,7 +40,7 @@
 use super::outage::Outage;
 use super::pace;
 use super::plan::Board;
-use super::plan::Heard;
+use super::plan::Comparison;
 use super::plan::Planner;
 use super::quarantine::Quarantine;
 use super::refusal::Reason;
@@ -222,16 +222,16 @@
 
     /// Takes a peer's heartbeat in, received at `now`; returns how its plans stand to the known ones,
     /// each with the age of its decision.
-    pub fn hear(&mut self, now: Time, heartbeat: &Heartbeat) -> Vec<(Heard, Span)> {
+    pub fn receive(&mut self, now: Time, heartbeat: &Heartbeat) -> Vec<(Comparison, Span)> {
         if heartbeat.entry.name == self.settings.entry.name {
             return Vec::new();
         }
-        self.hear_version(now, heartbeat.version);
-        self.directory.hear(now, heartbeat);
-        self.fleet.learn(now, &heartbeat.loads);
+        self.receive_version(now, heartbeat.version);
+        self.directory.receive(now, heartbeat);
+        self.fleet.receive(now, &heartbeat.loads);
         self.quarantine.merge(now, &heartbeat.suspects);
-        self.hear_paces(&heartbeat.paces);
-        self.hear_plans(now, &heartbeat.plans)
+        self.receive_paces(&heartbeat.paces);
+        self.receive_plans(now, &heartbeat.plans)
     }
 
     /// The heartbeat to send at `now`.
@@ -242,15 +242,15 @@
             sensitive: self.fleet.sensitive().min(u32::from(u16::MAX)) as u16,
             age_ms: 0,
         };
-        let mut demands = self.directory.tell(now);
+        let mut demands = self.directory.gossip(now);
         demands.retain(|d| d.gateway != own.gateway);
         demands.insert(0, own);
         Heartbeat {
             entry: self.settings.entry.clone(),
             demands,
-            loads: self.fleet.tell(now),
-            paces: self.tell_paces(),
-            plans: self.plans.tell(now),
+            loads: self.fleet.gossip(now),
+            paces: self.gossip_paces(),
+            plans: self.plans.gossip(now),
             suspects: self.quarantine.digest(now),
             version: self.version(),
             proof_age: self.freshness.age(now).map(|s| s.0),
@@ -299,8 +299,8 @@
     }
 
     /// Number of live peers.
-    pub fn gateways_heard(&self, now: Time) -> usize {
-        self.directory.heard(now)
+    pub fn live_peers(&self, now: Time) -> usize {
+        self.directory.live_peers(now)
     }
 
     /// Gateways that share the budget.
@@ -482,15 +482,15 @@
         self.fleet.silent_in(now, claim.replica)
     }
 
-    fn tell_paces(&self) -> Vec<pace::Sighting> {
+    fn gossip_paces(&self) -> Vec<pace::Sighting> {
         let told = self.models.iter();
-        told.filter_map(|(service, model)| model.pace.tell(directory::short(service))).collect()
+        told.filter_map(|(service, model)| model.pace.gossip(directory::short(service))).collect()
     }
 
-    fn hear_paces(&mut self, paces: &[pace::Sighting]) {
+    fn receive_paces(&mut self, paces: &[pace::Sighting]) {
         for (service, model) in &mut self.models {
             let short = directory::short(service);
-            paces.iter().filter(|p| p.service == short).for_each(|p| model.pace.hear(p));
+            paces.iter().filter(|p| p.service == short).for_each(|p| model.pace.receive(p));
         }
     }
 }
--- a/core/src/gateway/state/attempts.rs
+++ b/core/src/gateway/state/attempts.rs
@@ -26,8 +26,8 @@
     }
 
     /// Notes that something came from a replica.
-    pub fn heard(&mut self, now: Time, claim: &Claim, load: Option<Load>) {
-        self.fleet.heard(now, claim.replica, load);
+    pub fn record_activity(&mut self, now: Time, claim: &Claim, load: Option<Load>) {
+        self.fleet.record_activity(now, claim.replica, load);
     }
 
     /// Notes an event, or the whole answer, of an attempt; `true` if it is the first.
--- a/core/src/gateway/state/plans.rs
+++ b/core/src/gateway/state/plans.rs
@@ -4,7 +4,7 @@
 use super::Grant;
 use crate::gateway::config::Engine;
 use crate::gateway::directory;
-use crate::gateway::plan::Heard;
+use crate::gateway::plan::Comparison;
 use crate::gateway::plan::Plan;
 use crate::gateway::plan::Subject;
 use crate::gateway::tally::Report;
@@ -49,7 +49,7 @@
     }
 
     /// Takes in what another gateway has seen.
-    pub fn hear_report(&mut self, now: Time, report: &Report) {
+    pub fn receive_report(&mut self, now: Time, report: &Report) {
         self.planner.absorb(now, report);
     }
 
@@ -74,7 +74,7 @@
             let reach = |wanted| self.fleet.reach(now, &service.name, wanted);
             let decided = self.planner.decide(now, by, &subject, reach);
             if let Some(plan) = decided {
-                self.plans.hear(now, &plan);
+                self.plans.receive(now, &plan);
             }
         }
         let shorts: Vec<u32> = services.iter().map(|s| directory::short(&s.name)).collect();
@@ -83,9 +83,9 @@
 
     /// Takes the plans of a heartbeat in; returns how they stand to the known ones, each with the
     /// age of its decision.
-    pub(super) fn hear_plans(&mut self, now: Time, plans: &[Plan]) -> Vec<(Heard, Span)> {
+    pub(super) fn receive_plans(&mut self, now: Time, plans: &[Plan]) -> Vec<(Comparison, Span)> {
         let heard = |plan: &Plan| {
-            let heard = self.plans.hear(now, plan)?;
+            let heard = self.plans.receive(now, plan)?;
             Some((heard, Span::millis(u64::from(plan.age_ms))))
         };
         plans.iter().filter_map(heard).collect()
@@ -93,7 +93,7 @@
 
     /// The plans in force of all services.
     pub fn plans(&self, now: Time) -> Vec<Plan> {
-        self.plans.tell(now)
+        self.plans.gossip(now)
     }
 
     /// The plan of a service by name.
--- a/core/src/gateway/state/poison.rs
+++ b/core/src/gateway/state/poison.rs
@@ -43,7 +43,7 @@
     /// Reevaluates the quarantine; returns the verdicts that changed since the last call.
     pub fn reconsider(&mut self, now: Time) -> Vec<Verdict> {
         let fleet = &self.fleet;
-        self.quarantine.reconsider(now, |replica, at| fleet.heard_since(replica, at))
+        self.quarantine.reconsider(now, |replica, at| fleet.active_since(replica, at))
     }
 
     /// Number of quarantined fingerprints.
--- a/core/src/gateway/state/reads.rs
+++ b/core/src/gateway/state/reads.rs
@@ -89,7 +89,7 @@
     }
 
     /// Notes the version that a peer serves by.
-    pub(super) fn hear_version(&mut self, now: Time, version: u64) {
+    pub(super) fn receive_version(&mut self, now: Time, version: u64) {
         if now.since(self.began) < STARTING {
             self.told_version = self.told_version.max(version);
         }
--- a/core/tests/gateway/agreement.rs
+++ b/core/tests/gateway/agreement.rs
@@ -140,7 +140,7 @@
             let to = self.rng.random_range(0..self.gateways.len());
             self.sent_bytes += bytes;
             if to != from && self.arrives(from, to) {
-                self.gateways[to].hear(self.now, &heartbeat);
+                self.gateways[to].receive(self.now, &heartbeat);
             }
         }
     }
@@ -156,7 +156,7 @@
             self.sent_bytes += postcard::to_stdvec(&report).unwrap().len();
             let to = self.by_address[&decider];
             if self.arrives(from, to) {
-                self.gateways[to].hear_report(self.now, &report);
+                self.gateways[to].receive_report(self.now, &report);
             }
         }
     }
--- a/core/tests/gateway/directory.rs
+++ b/core/tests/gateway/directory.rs
@@ -57,11 +57,11 @@
     let entries = ["a", "b", "c"].map(entry);
     directory.list(START, entries.to_vec());
     for e in &entries {
-        directory.hear(START, &heartbeat(e, true));
+        directory.receive(START, &heartbeat(e, true));
     }
     let later = START + Span::secs(2);
     for e in &entries[1..] {
-        directory.hear(later, &heartbeat(e, true));
+        directory.receive(later, &heartbeat(e, true));
     }
 
     let sent_to = answer(&directory, Span::secs(2), None, "mixco");
@@ -75,10 +75,10 @@
     let entries = ["a", "b", "c"].map(entry);
     directory.list(START, entries.to_vec());
     for e in &entries {
-        directory.hear(START, &heartbeat(e, true));
+        directory.receive(START, &heartbeat(e, true));
     }
 
-    directory.hear(START + Span::millis(10), &heartbeat(&entries[0], false));
+    directory.receive(START + Span::millis(10), &heartbeat(&entries[0], false));
 
     assert_eq!(answer(&directory, Span::millis(20), None, "mixco"), ["b:1", "c:1"]);
 }
@@ -90,11 +90,11 @@
     let mut directory = Directory::default();
     let (a, b) = (entry("a"), entry("b"));
     directory.list(START, vec![a.clone(), b.clone()]);
-    directory.hear(START, &heartbeat(&a, true));
+    directory.receive(START, &heartbeat(&a, true));
     let mut relayed = heartbeat(&b, true);
     relayed.demands.push(Demand { gateway: short("a"), open: true, sensitive: 3, age_ms: 300 });
 
-    directory.hear(START + Span::secs(3), &relayed);
+    directory.receive(START + Span::secs(3), &relayed);
 
     assert_eq!(answer(&directory, Span::secs(3), None, "mixco"), ["a:1", "b:1"]);
     assert_eq!(directory.sensitive(START + Span::secs(3)), 3);
@@ -106,7 +106,7 @@
     let others: Vec<Entry> = all.iter().filter(|e| e.name != own.name).cloned().collect();
     directory.list(START, others.clone());
     for e in &others {
-        directory.hear(START, &heartbeat(e, true));
+        directory.receive(START, &heartbeat(e, true));
     }
     directory.readers(START, own)
 }
@@ -153,7 +153,7 @@
     let at_first = answer(&directory, Span(0), None, "mixco");
     let later = START + Span::millis(1_900);
     for e in &entries[1..] {
-        directory.hear(later, &heartbeat(e, true));
+        directory.receive(later, &heartbeat(e, true));
     }
     directory.list(later, entries.to_vec());
 
--- a/core/tests/gateway/fleet.rs
+++ b/core/tests/gateway/fleet.rs
@@ -69,7 +69,7 @@
     let mut gateway = gateway(2);
     for ms in (500..=2_500).step_by(500) {
         let now = START + Span::millis(ms);
-        gateway.hear(now, &heartbeat("two", Span::millis(200)));
+        gateway.receive(now, &heartbeat("two", Span::millis(200)));
     }
     let sent = START + Span::millis(2_600);
     gateway.learn(sent, None);
@@ -88,7 +88,7 @@
 fn an_outage_counts_as_one_also_for_those_who_hear_first_that_it_is_over() {
     let mut gateway = gateway(2);
     let back = START + Span::secs(4);
-    gateway.hear(back, &heartbeat("two", Span(0)));
+    gateway.receive(back, &heartbeat("two", Span(0)));
     let now = back + Span::millis(500);
     gateway.learn(now, None);
 
@@ -107,7 +107,7 @@
     let mut gateway = gateway(2);
     for ms in (500..=2_500).step_by(500) {
         let now = START + Span::millis(ms);
-        gateway.hear(now, &heartbeat("two", Span::millis(200)));
+        gateway.receive(now, &heartbeat("two", Span::millis(200)));
     }
     let now = START + Span::millis(2_600);
     let sent = START + Span::millis(1_700);
--- a/core/tests/gateway/loads.rs
+++ b/core/tests/gateway/loads.rs
@@ -89,7 +89,7 @@
         waiting,
         age_ms: 0,
     };
-    gateway.hear(now, &heartbeat(vec![], (0..ENGINES).map(seen).collect()));
+    gateway.receive(now, &heartbeat(vec![], (0..ENGINES).map(seen).collect()));
 }
 
 /// Burst of long prompts: 40 reports about each of 20 things. Read anywhere, each head would be
@@ -136,7 +136,7 @@
 fn chats_and_reports_do_not_share_engines() {
     let mut gateway = gateway(ENGINES);
     let demand = Demand { gateway: short("two"), open: true, sensitive: 60, age_ms: 0 };
-    gateway.hear(START, &heartbeat(vec![demand], vec![]));
+    gateway.receive(START, &heartbeat(vec![demand], vec![]));
 
     let chats: BTreeSet<String> = (0..40)
         .filter_map(|call| send(&mut gateway, START, "chat", &chat(call)).ok())
@@ -159,7 +159,7 @@
     let lane = |streams: u16| {
         let mut gateway = gateway(ENGINES);
         let demand = Demand { gateway: short("two"), open: true, sensitive: streams, age_ms: 0 };
-        gateway.hear(START, &heartbeat(vec![demand], vec![]));
+        gateway.receive(START, &heartbeat(vec![demand], vec![]));
         let sent = (0..100).filter_map(|c| send(&mut gateway, START, "chat", &chat(c)).ok());
         sent.map(|pick| pick.id).collect::<BTreeSet<_>>().len()
     };
@@ -243,7 +243,7 @@
 fn loads_are_passed_on_with_their_age() {
     let mut gateway = gateway(ENGINES);
     let pick = send(&mut gateway, START, "report", &report(1, 1)).unwrap();
-    gateway.heard(START, &pick.claim, Some(Load { running: 9, waiting: 2, slots: 16 }));
+    gateway.record_activity(START, &pick.claim, Some(Load { running: 9, waiting: 2, slots: 16 }));
 
     let young = gateway.heartbeat(START + Span::millis(300)).loads;
     let old = gateway.heartbeat(START + Span::millis(1_500)).loads;
@@ -260,7 +260,7 @@
 fn a_draft_takes_a_free_place_in_the_lane_before_it_stops_a_report() {
     let mut gateway = gateway(ENGINES);
     let demand = demand_of_chats(60);
-    gateway.hear(START, &heartbeat(vec![demand], Vec::new()));
+    gateway.receive(START, &heartbeat(vec![demand], Vec::new()));
     let (in_lane, outside) = lane_and_rest(&mut gateway);
     let call = ask("draft", &[(9_000, 1_800)]);
     let mut grant = gateway.admit(START, &call).unwrap();
@@ -277,7 +277,7 @@
 #[test]
 fn a_chat_that_the_lane_has_no_place_for_goes_elsewhere() {
     let mut gateway = gateway(ENGINES);
-    gateway.hear(START, &heartbeat(vec![demand_of_chats(60)], Vec::new()));
+    gateway.receive(START, &heartbeat(vec![demand_of_chats(60)], Vec::new()));
     let (in_lane, outside) = lane_and_rest(&mut gateway);
     let mut pick = |calls_in_lane: u16| {
         let call = ask("chat", &chat(1));
@@ -298,7 +298,7 @@
 #[test]
 fn a_chat_asks_for_one_engine_outside_of_the_lane() {
     let mut gateway = gateway(ENGINES);
-    gateway.hear(START, &heartbeat(vec![demand_of_chats(60)], Vec::new()));
+    gateway.receive(START, &heartbeat(vec![demand_of_chats(60)], Vec::new()));
     let call = ask("chat", &chat(1));
     let grant = gateway.admit(START, &call).unwrap();
 
@@ -312,7 +312,7 @@
 #[test]
 fn a_draft_stays_out_of_the_lane_while_others_have_places() {
     let mut gateway = gateway(ENGINES);
-    gateway.hear(START, &heartbeat(vec![demand_of_chats(60)], Vec::new()));
+    gateway.receive(START, &heartbeat(vec![demand_of_chats(60)], Vec::new()));
     let (in_lane, outside) = lane_and_rest(&mut gateway);
     let call = ask("draft", &[(9_000, 1_800)]);
     let mut grant = gateway.admit(START, &call).unwrap();
--- a/core/tests/gateway/occupancy.rs
+++ b/core/tests/gateway/occupancy.rs
@@ -67,7 +67,7 @@
         version: 1,
         proof_age: None,
     };
-    gateway.hear(START, &heartbeat);
+    gateway.receive(START, &heartbeat);
 }
 
 fn live(gateway: &mut Gateway, names: &[&str]) {
@@ -83,7 +83,7 @@
             version: 1,
             proof_age: None,
         };
-        gateway.hear(START, &heartbeat);
+        gateway.receive(START, &heartbeat);
     }
 }
 
--- a/core/tests/gateway/outage.rs
+++ b/core/tests/gateway/outage.rs
@@ -82,7 +82,7 @@
 #[test]
 fn a_heartbeat_that_waited_in_a_link_hides_no_outage() {
     let mut gateway = gateway(2);
-    gateway.hear(at(1_000), &heartbeat(Span(0)));
+    gateway.receive(at(1_000), &heartbeat(Span(0)));
 
     let kept = read(&mut gateway, at(3_450), Span::millis(10), &[]);
 
@@ -96,7 +96,7 @@
 fn a_gateway_that_was_frozen_does_not_take_that_for_an_outage() {
     let mut gateway = gateway(2);
     for _ in 0..12 {
-        gateway.hear(at(3_000), &heartbeat(Span::millis(200)));
+        gateway.receive(at(3_000), &heartbeat(Span::millis(200)));
     }
 
     let kept = read(&mut gateway, at(3_050), Span::millis(10), &["engine-1"]);
--- a/core/tests/gateway/pace.rs
+++ b/core/tests/gateway/pace.rs
@@ -63,11 +63,11 @@
 /// others tell, and many who know outweigh one that has seen a few calls.
 #[test]
 fn a_gateway_that_has_just_started_learns_from_others() {
-    let told = learnt(200, 0.03).tell(7).unwrap();
+    let told = learnt(200, 0.03).gossip(7).unwrap();
     let mut pace = Pace::default();
 
     for _ in 0..6 {
-        pace.hear(&told);
+        pace.receive(&told);
     }
 
     assert!(is_near(&pace, 0.03), "{}", pace.token_ms());
@@ -82,7 +82,7 @@
 
         seen.into_iter().for_each(|(work, took)| pace.learn(work, took));
         for (token_ms, weight) in told {
-            pace.hear(&pace::Sighting { service: 1, token_ms, weight });
+            pace.receive(&pace::Sighting { service: 1, token_ms, weight });
         }
 
         prop_assert!((0.001..=0.16).contains(&pace.token_ms()));
--- a/core/tests/gateway/plan.rs
+++ b/core/tests/gateway/plan.rs
@@ -4,7 +4,7 @@
 
 use laburnumwheel_core::gateway::config::Engine;
 use laburnumwheel_core::gateway::plan::Board;
-use laburnumwheel_core::gateway::plan::Heard;
+use laburnumwheel_core::gateway::plan::Comparison;
 use laburnumwheel_core::gateway::plan::Plan;
 use laburnumwheel_core::gateway::plan::Planner;
 use laburnumwheel_core::gateway::plan::Subject;
@@ -128,7 +128,7 @@
     for _ in 0..all.len() {
         let mut board = Board::default();
         for plan in &all {
-            board.hear(START, plan);
+            board.receive(START, plan);
         }
         held.insert(board.get(SERVICE).map(|plan| (plan.epoch, plan.by)));
         all.rotate_left(1);
@@ -140,12 +140,12 @@
 #[test]
 fn a_plan_is_passed_on_with_its_age() {
     let mut board = Board::default();
-    let heard = board.hear(START, &Plan { age_ms: 300, ..plan(1, 1) });
+    let heard = board.receive(START, &Plan { age_ms: 300, ..plan(1, 1) });
 
-    let told = board.tell(START + Span::millis(200));
+    let told = board.gossip(START + Span::millis(200));
 
-    assert_eq!(heard, Some(Heard::Newer));
-    assert_eq!(board.hear(START, &told[0]), Some(Heard::Same));
+    assert_eq!(heard, Some(Comparison::Newer));
+    assert_eq!(board.receive(START, &told[0]), Some(Comparison::Same));
     assert_eq!(told[0].age_ms, 500);
 }
 
--- a/core/tests/gateway/quarantine.rs
+++ b/core/tests/gateway/quarantine.rs
@@ -339,7 +339,7 @@
 
     let later = START + SETTLED + Span::millis(1);
     for claim in &claims {
-        gateway.heard(later, claim, Some(Load { running: 1, waiting: 0, slots: 16 }));
+        gateway.record_activity(later, claim, Some(Load { running: 1, waiting: 0, slots: 16 }));
     }
     gateway.reconsider(later);
 
--- a/core/tests/gateway/restart.rs
+++ b/core/tests/gateway/restart.rs
@@ -75,7 +75,7 @@
         version: 1,
         proof_age: None,
     };
-    gateway.hear(now, &heartbeat);
+    gateway.receive(now, &heartbeat);
 }
 
 /// What a call would find at the engine, as far as the gateway knows.
@@ -94,7 +94,11 @@
     let mut gateway = before(FIRST);
     let mut running = send(&mut gateway, START);
     gateway.first(START, &mut running.claim);
-    gateway.heard(START, &running.claim, Some(Load { running: 16, waiting: 30, slots: 16 }));
+    gateway.record_activity(
+        START,
+        &running.claim,
+        Some(Load { running: 16, waiting: 30, slots: 16 }),
+    );
     let known = pick(&mut gateway, START).1.claim;
 
     let replaced = list(&mut gateway, START, vec![life(SECOND)]);
@@ -138,7 +142,7 @@
     let before = seen(&mut gateway, START);
 
     gateway.first(START, &mut former.claim);
-    gateway.heard(START, &former.claim, Some(Load { running: 9, waiting: 9, slots: 16 }));
+    gateway.record_activity(START, &former.claim, Some(Load { running: 9, waiting: 9, slots: 16 }));
     gateway.done(START, former.claim, Outcome::Replaced);
 
     assert_eq!(seen(&mut gateway, START), before);
--- a/gateway/src/attempt.rs
+++ b/gateway/src/attempt.rs
@@ -154,7 +154,7 @@
     /// Notes that something came.
     pub fn heard(&mut self, head: Option<&dialect::Head>) {
         let load = head.and_then(|h| h.load);
-        self.shared.gateway.borrow_mut().heard(clock::now(), &self.claim, load);
+        self.shared.gateway.borrow_mut().record_activity(clock::now(), &self.claim, load);
     }
 
     /// Notes events, or the whole answer.
--- a/gateway/src/duty/term.rs
+++ b/gateway/src/duty/term.rs
@@ -165,7 +165,7 @@
             (log.report(window), log.reporters(window))
         };
         let is_open = self.stored.journal.as_ref().is_some_and(|j| j.is_open(window));
-        let gateways = self.shared.gateway.borrow().gateways_heard(clock::now()) + 1;
+        let gateways = self.shared.gateway.borrow().live_peers(clock::now()) + 1;
         if !is_open || reporters * 2 < gateways {
             self.leave_out(window, reporters);
             return None;
--- a/gateway/src/peers.rs
+++ b/gateway/src/peers.rs
@@ -9,7 +9,7 @@
 use laburnumwheel_core::gateway::leader;
 use laburnumwheel_core::gateway::occupancy::Snapshot;
 use laburnumwheel_core::gateway::occupancy::Update;
-use laburnumwheel_core::gateway::plan::Heard;
+use laburnumwheel_core::gateway::plan::Comparison;
 use laburnumwheel_core::gateway::tally::Report;
 use laburnumwheel_core::gateway::usage;
 use laburnumwheel_core::gateway::view;
@@ -249,10 +249,10 @@
 }
 
 /// Counts how often peers go by the same plans, and how long a new one took to come here.
-fn note_plans(shared: &Shared, heard: &[(Heard, Span)]) {
+fn note_plans(shared: &Shared, heard: &[(Comparison, Span)]) {
     for (heard, age) in heard {
         shared.metrics.count("plans_heard_total", format!("plan=\"{heard}\""));
-        if *heard == Heard::Newer {
+        if *heard == Comparison::Newer {
             shared.metrics.add("plans_delay_ms_total", String::new(), age.as_millis());
         }
     }
@@ -281,7 +281,7 @@
         match message {
             Message::Heartbeat(heartbeat) => {
                 take_trailer(&shared, &heartbeat.entry.name, trailer);
-                let heard = shared.gateway.borrow_mut().hear(clock::now(), &heartbeat);
+                let heard = shared.gateway.borrow_mut().receive(clock::now(), &heartbeat);
                 note_plans(&shared, &heard);
             }
             Message::Question(question) => reply(&shared, from, question).await,
@@ -308,7 +308,7 @@
                 shared.gateway.borrow_mut().note(clock::now(), &updates);
             }
             Message::Report(report) => {
-                shared.gateway.borrow_mut().hear_report(clock::now(), &report);
+                shared.gateway.borrow_mut().receive_report(clock::now(), &report);
             }
             Message::Usage(sender, batches) => {
                 let acks = shared.duties.as_ref().map(|duties| duties.merge(sender, batches));
