--- a/gateway/src/attempt.rs
+++ b/gateway/src/attempt.rs
@@ -64,9 +64,9 @@
     /// What the call was admitted to.
     pub grant: Grant,
     /// A replica may have run it, or may still.
-    pub touched: bool,
+    pub may_have_run: bool,
     /// The head of an answer is on its way to the caller.
-    pub answered: bool,
+    pub responding: bool,
     /// It was counted for its organisation.
     pub metered: bool,
 }
@@ -113,13 +113,13 @@
 }
 
 /// The call's fingerprint, as logs name it.
-pub fn fingerprint_of(grant: &Grant) -> String {
+pub fn format_fingerprint(grant: &Grant) -> String {
     grant.fingerprint.map_or_else(String::new, |fingerprint| fingerprint.to_string())
 }
 
 /// A whole answer of a replica.
 #[derive(Clone, Debug)]
-pub struct Whole {
+pub struct Collected {
     /// Status and headers.
     pub head: response::Parts,
     /// Body.
@@ -131,7 +131,7 @@
     /// The call may not be sent at all.
     Denied(Refusal),
     /// The attempt failed; a replica's own failure answer may be passed on.
-    Fault(Fault, Option<Box<Whole>>),
+    Fault(Fault, Option<Box<Collected>>),
 }
 
 /// A replica's claim on a call, given back when dropped.
@@ -152,13 +152,13 @@
     }
 
     /// Notes that something came.
-    pub fn heard(&mut self, head: Option<&dialect::Head>) {
+    pub fn record_activity(&mut self, head: Option<&dialect::Metadata>) {
         let load = head.and_then(|h| h.load);
         self.shared.gateway.borrow_mut().record_activity(clock::now(), &self.claim, load);
     }
 
     /// Notes events, or the whole answer.
-    pub fn event(&mut self) {
+    pub fn record_event(&mut self) {
         let first = self.shared.gateway.borrow_mut().event(clock::now(), &mut self.claim);
         if first {
             self.shared.updates_waiting.notify_one();
@@ -173,11 +173,11 @@
 }
 
 /// An attempt whose answer has begun.
-pub struct Begun {
+pub struct Exchange {
     /// Status and headers.
     pub head: response::Parts,
     /// What the head says.
-    pub said: dialect::Head,
+    pub metadata: dialect::Metadata,
     /// The rest.
     pub body: Incoming,
     /// The replica's claim.
@@ -188,25 +188,25 @@
     pub replica: String,
 }
 
-impl Begun {
+impl Exchange {
     /// Gives the connection back after the whole answer was read.
     pub fn finish(self, outcome: Outcome) {
         self.in_flight.end(outcome);
         let shared = self.in_flight.shared.clone();
         let replica = self.in_flight.claim.replica;
-        shared.pool.keep(replica, self.channel, self.said.keep_alive);
+        shared.pool.keep(replica, self.channel, self.metadata.keep_alive);
     }
 }
 
 impl Call {
     /// Logs what came of an attempt.
-    pub fn note(&self, replica: &str, fault: Fault) {
+    pub fn record_failure(&self, replica: &str, fault: Fault) {
         let label = format!("service=\"{}\",fault=\"{fault}\"", self.grant.service);
         self.shared.metrics.count("attempt_faults_total", label);
         let line = Line::new("attempt_failed")
             .with("request", String::from_utf8_lossy(&self.ask.id))
             .with("route", &self.grant.route.name)
-            .with("fingerprint", fingerprint_of(&self.grant))
+            .with("fingerprint", format_fingerprint(&self.grant))
             .with("replica", replica)
             .with("fault", fault)
             .with("attempt", self.grant.attempts)
@@ -219,9 +219,9 @@
     /// # Errors
     ///
     /// Why there is no answer to read on.
-    pub async fn attempt(&mut self, last_event: Option<&Bytes>) -> Result<Begun, Failure> {
+    pub async fn attempt(&mut self, last_event: Option<&Bytes>) -> Result<Exchange, Failure> {
         let now = clock::now();
-        if !self.touched {
+        if !self.may_have_run {
             self.shared.gateway.borrow().may_begin(now, &self.grant).map_err(Failure::Denied)?;
         }
         let queries = self.shared.gateway.borrow_mut().queries(now, &self.ask, &self.grant);
@@ -312,61 +312,62 @@
         pick: &mut Pick,
         mut channel: Channel,
         request: Request<Full<Bytes>>,
-    ) -> Result<Begun, Failure> {
+    ) -> Result<Exchange, Failure> {
         let now = clock::now();
         self.shared.gateway.borrow_mut().sent(now, &self.ask, &mut self.grant, pick);
         self.shared.updates_waiting.notify_one();
         let shared = self.shared.clone();
         let mut in_flight = InFlight { shared, claim: pick.claim, ended: Cell::new(false) };
         let answer = channel.sender.send_request(request);
-        let answer = match self.listen(&in_flight, answer).await {
+        let answer = match self.wait_for(&in_flight, answer).await {
             Ok(Ok(answer)) => answer,
             Ok(Err(_)) => return Err(self.fail(&in_flight, &pick.id, Fault::Broken)),
             Err(fault) => return Err(self.fail(&in_flight, &pick.id, fault)),
         };
-        let said = (self.shared.dialect.head)(answer.headers());
-        if said.id.as_ref() != Some(&self.ask.id) {
-            let fault = self.foreign(&answer, &said);
+        let metadata = (self.shared.dialect.head)(answer.headers());
+        if metadata.id.as_ref() != Some(&self.ask.id) {
+            let fault = self.foreign(&answer, &metadata);
             return Err(self.fail(&in_flight, &pick.id, fault));
         }
-        in_flight.heard(Some(&said));
+        in_flight.record_activity(Some(&metadata));
         let (head, body) = answer.into_parts();
-        let begun = Begun { head, said, body, in_flight, channel, replica: pick.id.clone() };
-        if begun.said.not_run || begun.head.status.is_server_error() {
-            return Err(self.refused(begun).await);
+        let exchange =
+            Exchange { head, metadata, body, in_flight, channel, replica: pick.id.clone() };
+        if exchange.metadata.not_run || exchange.head.status.is_server_error() {
+            return Err(self.refused(exchange).await);
         }
         // Without the replica's proof it is no answer of a replica.
-        if begun.head.status.is_success() && !begun.said.sealed {
-            return Err(self.fail(&begun.in_flight, &begun.replica, Fault::Broken));
+        if exchange.head.status.is_success() && !exchange.metadata.sealed {
+            return Err(self.fail(&exchange.in_flight, &exchange.replica, Fault::Broken));
         }
-        Ok(begun)
+        Ok(exchange)
     }
 
     /// An answer without this call's id: what another run of a replica says at this address is
     /// true for this call; anything else may belong to any call.
-    fn foreign(&self, answer: &Response<Incoming>, said: &dialect::Head) -> Fault {
+    fn foreign(&self, answer: &Response<Incoming>, metadata: &dialect::Metadata) -> Fault {
         let replaced = answer.status() == StatusCode::MISDIRECTED_REQUEST;
-        if replaced && said.id.is_none() { Fault::Replaced } else { Fault::Misattributed }
+        if replaced && metadata.id.is_none() { Fault::Replaced } else { Fault::Misattributed }
     }
 
     /// Reads a failure answer whole.
-    async fn refused(&mut self, begun: Begun) -> Failure {
-        let replica = begun.replica.clone();
-        let sent = begun.in_flight.claim.sent;
-        let fault = if begun.head.status == StatusCode::MISDIRECTED_REQUEST {
+    async fn refused(&mut self, exchange: Exchange) -> Failure {
+        let replica = exchange.replica.clone();
+        let sent = exchange.in_flight.claim.sent;
+        let fault = if exchange.head.status == StatusCode::MISDIRECTED_REQUEST {
             Fault::Replaced
-        } else if begun.said.not_run {
+        } else if exchange.metadata.not_run {
             Fault::Refused
         } else {
             Fault::Status
         };
-        match self.whole(begun, fault.outcome()).await {
+        match self.collect(exchange, fault.outcome()).await {
             Ok(whole) => {
-                self.touched |= !fault.not_run();
+                self.may_have_run |= !fault.not_run();
                 if !fault.not_run() {
                     self.meter(sent);
                 }
-                self.note(&replica, fault);
+                self.record_failure(&replica, fault);
                 Failure::Fault(fault, Some(Box::new(whole)))
             }
             // Its head was this call's, so what it says of not having run holds.
@@ -380,25 +381,29 @@
     /// # Errors
     ///
     /// That it broke off, or the time is over.
-    pub async fn whole(&mut self, mut begun: Begun, outcome: Outcome) -> Result<Whole, Failure> {
-        let collected = Limited::new(&mut begun.body, MOST_ANSWER).collect();
-        match self.listen(&begun.in_flight, collected).await {
+    pub async fn collect(
+        &mut self,
+        mut exchange: Exchange,
+        outcome: Outcome,
+    ) -> Result<Collected, Failure> {
+        let collected = Limited::new(&mut exchange.body, MOST_ANSWER).collect();
+        match self.wait_for(&exchange.in_flight, collected).await {
             Ok(Ok(body)) => {
-                begun.in_flight.event();
+                exchange.in_flight.record_event();
                 if outcome == Outcome::Answered {
-                    self.answered_whole();
+                    self.record_completion();
                 }
-                let head = begun.head.clone();
-                begun.finish(outcome);
-                Ok(Whole { head, body: body.to_bytes() })
+                let head = exchange.head.clone();
+                exchange.finish(outcome);
+                Ok(Collected { head, body: body.to_bytes() })
             }
-            Ok(Err(_)) => Err(self.fail(&begun.in_flight, &begun.replica, Fault::Broken)),
-            Err(fault) => Err(self.fail(&begun.in_flight, &begun.replica, fault)),
+            Ok(Err(_)) => Err(self.fail(&exchange.in_flight, &exchange.replica, Fault::Broken)),
+            Err(fault) => Err(self.fail(&exchange.in_flight, &exchange.replica, fault)),
         }
     }
 
     /// Notes that a replica has run the call to its end.
-    pub fn answered_whole(&self) {
+    pub fn record_completion(&self) {
         self.shared.gateway.borrow_mut().answered(clock::now(), &self.grant);
     }
 
@@ -411,7 +416,7 @@
 
     /// Notes that an attempt failed.
     pub fn fail(&mut self, in_flight: &InFlight, replica: &str, fault: Fault) -> Failure {
-        self.touched |= !fault.not_run();
+        self.may_have_run |= !fault.not_run();
         if self.has_likely_run(fault) {
             self.meter(in_flight.claim.sent);
         }
@@ -420,7 +425,7 @@
             gateway.broke(clock::now(), &self.grant, &in_flight.claim);
         }
         in_flight.end(fault.outcome());
-        self.note(replica, fault);
+        self.record_failure(replica, fault);
         Failure::Fault(fault, None)
     }
 
@@ -441,13 +446,13 @@
     /// # Errors
     ///
     /// [`Fault::TimedOut`], [`Fault::Stopped`] or [`Fault::Silent`].
-    pub async fn listen<T>(
+    pub async fn wait_for<T>(
         &self,
         in_flight: &InFlight,
         future: impl Future<Output = T>,
     ) -> Result<T, Fault> {
         let mut future = std::pin::pin!(future);
-        let mut movable = self.may_repeat();
+        let mut movable = self.may_retry();
         loop {
             let now = clock::now();
             if now >= self.grant.deadline {
@@ -455,7 +460,7 @@
             }
             // Cut off with the process, the caller would not even hear that its call had arrived.
             // An answer that has begun can only be broken off, so it is read to the last moment.
-            if !self.answered && self.shared.gateway.borrow().is_ending(now) {
+            if !self.responding && self.shared.gateway.borrow().is_ending(now) {
                 return Err(Fault::Stopped);
             }
             let left = self.grant.deadline.since(now);
@@ -487,7 +492,7 @@
     }
 
     /// Whether the call may be sent to one more replica although one may have run it.
-    pub fn may_repeat(&self) -> bool {
+    pub fn may_retry(&self) -> bool {
         self.grant.route.idempotent && self.grant.attempts < self.grant.route.attempts
     }
 }
--- a/gateway/src/call.rs
+++ b/gateway/src/call.rs
@@ -34,7 +34,7 @@
 use crate::shared::Shared;
 
 /// Replicas that a call may try to reach.
-pub const MOST_TRIED: usize = 6;
+pub const MAX_REPLICAS_TRIED: usize = 6;
 /// Time to come back after a refusal that a replica made.
 const AFTER_REFUSAL: Span = Span::millis(150);
 /// Headers that concern one connection only and are not passed back.
@@ -42,7 +42,7 @@
     [header::CONNECTION, header::TRANSFER_ENCODING, header::UPGRADE, header::TRAILER];
 
 /// Notes how a call ended, once; a caller that leaves drops it unended.
-pub struct Ending {
+pub struct Recorder {
     shared: Shared,
     arrived: Time,
     id: Bytes,
@@ -53,10 +53,10 @@
     longest_pause: Cell<Span>,
 }
 
-impl Ending {
-    fn new(shared: Shared, id: Bytes, arrived: Time) -> Ending {
+impl Recorder {
+    fn new(shared: Shared, id: Bytes, arrived: Time) -> Recorder {
         shared.calls.set(shared.calls.get() + 1);
-        Ending {
+        Recorder {
             shared,
             arrived,
             id,
@@ -68,7 +68,7 @@
     }
 
     /// Notes that the first event goes to the caller.
-    pub fn first(&self, call: &Call) {
+    pub fn record_first_event(&self, call: &Call) {
         let took = clock::now().since(self.arrived);
         self.first.set(Some(took));
         let organisation = call.grant.organisation.as_deref();
@@ -76,7 +76,7 @@
     }
 
     /// Notes that an event came; the time to the first one is no pause.
-    pub fn event(&self) {
+    pub fn record_event(&self) {
         let now = clock::now();
         let before = self.event.replace(now);
         if before > self.arrived {
@@ -85,7 +85,7 @@
     }
 
     /// Notes the end of an admitted call.
-    pub fn end(&self, call: &Call, outcome: &str, status: u16) {
+    pub fn record_end(&self, call: &Call, outcome: &str, status: u16) {
         if self.noted.replace(true) {
             return;
         }
@@ -111,7 +111,7 @@
     }
 
     /// Notes the end of a call that was not admitted.
-    fn refuse(&self, reason: &str, status: StatusCode) {
+    fn record_refusal(&self, reason: &str, status: StatusCode) {
         if self.noted.replace(true) {
             return;
         }
@@ -152,7 +152,7 @@
         .with("plan", claim.epoch)
 }
 
-impl Drop for Ending {
+impl Drop for Recorder {
     fn drop(&mut self) {
         self.shared.calls.set(self.shared.calls.get() - 1);
         if !self.noted.get() {
@@ -187,20 +187,20 @@
         Ok(ask) => ask,
         Err(e) => return plain(StatusCode::BAD_REQUEST, &e.to_string()),
     };
-    let ending = Ending::new(shared.clone(), ask.id.clone(), arrived);
+    let recorder = Recorder::new(shared.clone(), ask.id.clone(), arrived);
     let admitted = shared.gateway.borrow_mut().admit(arrived, &ask);
     let limits = shared.gateway.borrow().config().map_or_else(Limits::default, |c| c.limits);
     // The body is read in any case, so that the connection can go on.
     let body = match read(body, &limits).await {
         Ok(body) => body,
         Err(status) => {
-            ending.refuse("body", status);
+            recorder.record_refusal("body", status);
             return own(shared, &ask.id, status, None);
         }
     };
     let mut grant = match admitted {
         Ok(grant) => grant,
-        Err(refusal) => return refuse(shared, &ending, &ask.id, &refusal),
+        Err(refusal) => return refuse(shared, &recorder, &ask.id, &refusal),
     };
     let (method, uri) = (head.method, head.uri);
     let uri = uri.path_and_query().map_or(uri.clone(), |p| p.clone().into());
@@ -220,32 +220,34 @@
         headers: head.headers,
         body,
         grant,
-        touched: false,
-        answered: false,
+        may_have_run: false,
+        responding: false,
         metered: false,
     };
-    run(call, ending).await
+    run(call, recorder).await
 }
 
 /// Makes attempts until one brings an answer, or no further one is allowed.
-async fn run(mut call: Call, mut ending: Ending) -> Response<Answer> {
+async fn run(mut call: Call, mut recorder: Recorder) -> Response<Answer> {
     loop {
         let failure = match call.attempt(None).await {
-            Ok(begun) if call.grant.route.streams => match Relay::open(call, begun, ending).await {
+            Ok(exchange) if call.grant.route.streams => match Relay::open(call, exchange, recorder)
+                .await
+            {
                 Ok((head, relay)) => return answered(head, Answer::stream(relay.into_stream())),
                 Err((back, e, failure)) => {
                     call = back;
-                    ending = e;
+                    recorder = e;
                     failure
                 }
             },
-            Ok(begun) => {
-                let sent = begun.in_flight.claim.sent;
-                match call.whole(begun, Outcome::Answered).await {
+            Ok(exchange) => {
+                let sent = exchange.in_flight.claim.sent;
+                match call.collect(exchange, Outcome::Answered).await {
                     Ok(whole) => {
                         call.meter(sent);
-                        ending.first(&call);
-                        ending.end(&call, "answered", whole.head.status.as_u16());
+                        recorder.record_first_event(&call);
+                        recorder.record_end(&call, "answered", whole.head.status.as_u16());
                         return answered(whole.head, Answer::whole(whole.body));
                     }
                     Err(failure) => failure,
@@ -254,7 +256,7 @@
             Err(failure) => failure,
         };
         if !goes_on(&call, &failure) {
-            return end(&call, &ending, failure);
+            return end(&call, &recorder, failure);
         }
     }
 }
@@ -271,27 +273,27 @@
         return false;
     }
     match fault {
-        Fault::Unreachable => call.grant.tried.len() < MOST_TRIED,
+        Fault::Unreachable => call.grant.tried.len() < MAX_REPLICAS_TRIED,
         Fault::Silent => true,
         // Nothing ran, but the replica was sent the call: it counts as one of its attempts.
         Fault::Refused | Fault::Replaced => {
             call.grant.attempts < call.grant.route.attempts
                 && call.shared.gateway.borrow_mut().spend(now, &call.grant.service)
         }
-        _ => call.may_repeat() && call.shared.gateway.borrow_mut().spend(now, &call.grant.service),
+        _ => call.may_retry() && call.shared.gateway.borrow_mut().spend(now, &call.grant.service),
     }
 }
 
 /// The last answer of a call that got none of a replica.
 ///
 /// That it has not run is only said if no attempt can have run it.
-fn end(call: &Call, ending: &Ending, failure: Failure) -> Response<Answer> {
+fn end(call: &Call, recorder: &Recorder, failure: Failure) -> Response<Answer> {
     let refusal = match failure {
         Failure::Fault(Fault::Status, Some(whole)) => {
-            ending.end(call, "replica_failed", whole.head.status.as_u16());
+            recorder.record_end(call, "replica_failed", whole.head.status.as_u16());
             return answered(whole.head, Answer::whole(whole.body));
         }
-        Failure::Fault(fault, _) if call.touched => Refusal::unknown(match fault {
+        Failure::Fault(fault, _) if call.may_have_run => Refusal::unknown(match fault {
             Fault::TimedOut => Reason::TimedOut,
             Fault::Stopped => Reason::Stopping,
             _ => Reason::ReplicaFailed,
@@ -301,20 +303,20 @@
         }
         Failure::Fault(Fault::TimedOut, _) => Refusal::not_run(Reason::TimedOut, AFTER_REFUSAL),
         Failure::Fault(_, _) => Refusal::not_run(Reason::NoReplica, AFTER_REFUSAL),
-        Failure::Denied(refusal) if call.touched => Refusal::unknown(refusal.reason),
+        Failure::Denied(refusal) if call.may_have_run => Refusal::unknown(refusal.reason),
         Failure::Denied(refusal) => refusal,
     };
-    finish(call, ending, &refusal)
+    finish(call, recorder, &refusal)
 }
 
-fn finish(call: &Call, ending: &Ending, refusal: &Refusal) -> Response<Answer> {
+fn finish(call: &Call, recorder: &Recorder, refusal: &Refusal) -> Response<Answer> {
     let outcome = refusal.reason.to_string();
-    ending.end(call, &outcome, status(refusal).as_u16());
+    recorder.record_end(call, &outcome, status(refusal).as_u16());
     own(&call.shared, &call.ask.id, status(refusal), Some(refusal))
 }
 
-fn refuse(shared: &Shared, ending: &Ending, id: &Bytes, refusal: &Refusal) -> Response<Answer> {
-    ending.refuse(&refusal.reason.to_string(), status(refusal));
+fn refuse(shared: &Shared, recorder: &Recorder, id: &Bytes, refusal: &Refusal) -> Response<Answer> {
+    recorder.record_refusal(&refusal.reason.to_string(), status(refusal));
     own(shared, id, status(refusal), Some(refusal))
 }
 
--- a/gateway/src/dialect.rs
+++ b/gateway/src/dialect.rs
@@ -28,7 +28,7 @@
 
 /// What the head of a replica's answer says.
 #[derive(Clone, Debug, Default)]
-pub struct Head {
+pub struct Metadata {
     /// Id of the call that it answers.
     pub id: Option<Bytes>,
     /// It bears the proof that a replica made it.
@@ -67,7 +67,7 @@
     /// Changes a call's headers for one attempt.
     pub attempt: fn(&mut HeaderMap, &Attempt<'_>),
     /// Reads the head of an answer.
-    pub head: fn(&HeaderMap) -> Head,
+    pub head: fn(&HeaderMap) -> Metadata,
     /// Writes the id of the call on an answer of the gateway's own.
     pub own: fn(&mut HeaderMap, &Bytes),
 }
--- a/gateway/src/dialect/own.rs
+++ b/gateway/src/dialect/own.rs
@@ -13,8 +13,8 @@
 
 use super::Attempt;
 use super::Dialect;
-use super::Head;
 use super::Malformed;
+use super::Metadata;
 
 /// Id of the caller's try, echoed in the answer.
 pub const ID: &str = "x-request-id";
@@ -100,13 +100,13 @@
     }
 }
 
-fn head(headers: &HeaderMap) -> Head {
+fn head(headers: &HeaderMap) -> Metadata {
     let load = |value: &str| {
         let mut numbers = value.split(',').map(|n| n.trim().parse().ok());
         let (running, waiting) = (numbers.next()??, numbers.next()??);
         Some(Load { running, waiting, slots: numbers.next()?? })
     };
-    Head {
+    Metadata {
         id: headers.get(ID).map(|v| Bytes::copy_from_slice(v.as_bytes())),
         sealed: headers.contains_key(PROOF),
         not_run: headers.contains_key(NOT_RUN),
--- a/gateway/src/relay.rs
+++ b/gateway/src/relay.rs
@@ -8,22 +8,22 @@
 use laburnumwheel_core::gateway::events::Splitter;
 use laburnumwheel_core::gateway::fleet::Outcome;
 
-use crate::attempt::Begun;
 use crate::attempt::Call;
+use crate::attempt::Exchange;
 use crate::attempt::Failure;
 use crate::attempt::Fault;
 use crate::body::Broken;
-use crate::call::Ending;
+use crate::call::Recorder;
 use crate::clock;
 use crate::log::Line;
 
 /// A stream on its way from a replica to a caller.
 pub struct Relay {
     call: Call,
-    begun: Option<Begun>,
+    exchange: Option<Exchange>,
     splitter: Splitter,
     ready: Option<Bytes>,
-    ending: Ending,
+    recorder: Recorder,
 }
 
 enum Step {
@@ -40,21 +40,21 @@
     /// The call, and why there is no event.
     pub async fn open(
         mut call: Call,
-        begun: Begun,
-        ending: Ending,
-    ) -> Result<(response::Parts, Relay), (Call, Ending, Failure)> {
-        let head = begun.head.clone();
+        exchange: Exchange,
+        recorder: Recorder,
+    ) -> Result<(response::Parts, Relay), (Call, Recorder, Failure)> {
+        let head = exchange.head.clone();
         let mut splitter = Splitter::default();
-        let mut begun = Some(begun);
-        match step(&mut call, &mut begun, &mut splitter).await {
+        let mut exchange = Some(exchange);
+        match step(&mut call, &mut exchange, &mut splitter).await {
             Ok(Step::Events(events)) => {
-                ending.event();
-                call.answered = true;
+                recorder.record_event();
+                call.responding = true;
                 let ready = Some(events);
-                Ok((head, Relay { call, begun, splitter, ready, ending }))
+                Ok((head, Relay { call, exchange, splitter, ready, recorder }))
             }
-            Ok(Step::End) => Ok((head, Relay { call, begun, splitter, ready: None, ending })),
-            Err(failure) => Err((call, ending, failure)),
+            Ok(Step::End) => Ok((head, Relay { call, exchange, splitter, ready: None, recorder })),
+            Err(failure) => Err((call, recorder, failure)),
         }
     }
 
@@ -72,17 +72,17 @@
 
     async fn next(&mut self) -> Result<Option<Bytes>, Broken> {
         if let Some(events) = self.ready.take() {
-            self.ending.first(&self.call);
+            self.recorder.record_first_event(&self.call);
             return Ok(Some(events));
         }
         loop {
-            if self.begun.is_none() {
-                self.ending.end(&self.call, "answered", 200);
+            if self.exchange.is_none() {
+                self.recorder.record_end(&self.call, "answered", 200);
                 return Ok(None);
             }
-            match step(&mut self.call, &mut self.begun, &mut self.splitter).await {
+            match step(&mut self.call, &mut self.exchange, &mut self.splitter).await {
                 Ok(Step::Events(events)) => {
-                    self.ending.event();
+                    self.recorder.record_event();
                     return Ok(Some(events));
                 }
                 Ok(Step::End) => {}
@@ -96,11 +96,11 @@
     /// The attempt before has been cancelled by closing its connection, so that never two runs of
     /// one stream are at work.
     async fn resume(&mut self, mut failure: Failure) -> Result<(), Broken> {
-        self.begun = None;
+        self.exchange = None;
         self.splitter.restart();
         loop {
             if !self.may_resume(&failure) {
-                self.ending.end(&self.call, "broken_off", 200);
+                self.recorder.record_end(&self.call, "broken_off", 200);
                 return Err(Broken);
             }
             let last = self.splitter.last_id().cloned();
@@ -111,8 +111,8 @@
                 .with("age_ms", clock::now().since(self.call.grant.arrived).as_millis());
             self.call.shared.log(line);
             match self.call.attempt(last.as_ref()).await {
-                Ok(begun) => {
-                    self.begun = Some(begun);
+                Ok(exchange) => {
+                    self.exchange = Some(exchange);
                     return Ok(());
                 }
                 Err(next) => failure = next,
@@ -129,31 +129,31 @@
             return false;
         }
         if *fault == Fault::Unreachable {
-            return grant.route.idempotent && grant.tried.len() < crate::call::MOST_TRIED;
+            return grant.route.idempotent && grant.tried.len() < crate::call::MAX_REPLICAS_TRIED;
         }
         let paid = *fault == Fault::Silent;
-        self.call.may_repeat()
+        self.call.may_retry()
             && (paid || self.call.shared.gateway.borrow_mut().spend(clock::now(), &grant.service))
     }
 }
 
 impl Drop for Relay {
     fn drop(&mut self) {
-        self.ending.end(&self.call, "caller_left", 0);
+        self.recorder.record_end(&self.call, "caller_left", 0);
     }
 }
 
 /// Reads on until at least one whole event is there, or the stream has ended.
 async fn step(
     call: &mut Call,
-    begun: &mut Option<Begun>,
+    exchange: &mut Option<Exchange>,
     splitter: &mut Splitter,
 ) -> Result<Step, Failure> {
     loop {
-        let Some(b) = begun.as_mut() else {
+        let Some(b) = exchange.as_mut() else {
             return Ok(Step::End);
         };
-        let frame = match call.listen(&b.in_flight, b.body.frame()).await {
+        let frame = match call.wait_for(&b.in_flight, b.body.frame()).await {
             Ok(frame) => frame,
             Err(fault) => return Err(call.fail(&b.in_flight, &b.replica, fault)),
         };
@@ -162,11 +162,11 @@
                 let Ok(data) = frame.into_data() else {
                     continue;
                 };
-                b.in_flight.heard(None);
+                b.in_flight.record_activity(None);
                 match splitter.push(&data) {
                     Ok(events) if events.is_empty() => {}
                     Ok(events) => {
-                        b.in_flight.event();
+                        b.in_flight.record_event();
                         call.meter(clock::now());
                         return Ok(Step::Events(events));
                     }
@@ -179,8 +179,8 @@
                 return Err(call.fail(&b.in_flight, &b.replica, Fault::Broken));
             }
             None => {
-                call.answered_whole();
-                if let Some(b) = begun.take() {
+                call.record_completion();
+                if let Some(b) = exchange.take() {
                     b.finish(Outcome::Answered);
                 }
                 return Ok(Step::End);
