--- a/gateway/src/attempt.rs
+++ b/gateway/src/attempt.rs
@@ -298,12 +298,12 @@
         let attempt = dialect::Attempt {
             replica: &pick.id,
             organisation: self.grant.organisation.as_deref(),
-            left_ms: self.grant.deadline.since(clock::now()).as_millis().max(1),
+            remaining_ms: self.grant.deadline.since(clock::now()).as_millis().max(1),
             rank: self.grant.rank,
             last_event,
             engine: pick.engine,
         };
-        (self.shared.dialect.attempt)(headers, &attempt);
+        (self.shared.dialect.prepare_attempt)(headers, &attempt);
         request
     }
 
@@ -324,7 +324,7 @@
             Ok(Err(_)) => return Err(self.fail(&in_flight, &pick.id, Fault::Broken)),
             Err(fault) => return Err(self.fail(&in_flight, &pick.id, fault)),
         };
-        let metadata = (self.shared.dialect.head)(answer.headers());
+        let metadata = (self.shared.dialect.parse_response)(answer.headers());
         if metadata.id.as_ref() != Some(&self.ask.id) {
             let fault = self.foreign(&answer, &metadata);
             return Err(self.fail(&in_flight, &pick.id, fault));
--- a/gateway/src/call.rs
+++ b/gateway/src/call.rs
@@ -183,7 +183,7 @@
 async fn answer(shared: &Shared, request: Request<Incoming>) -> Response<Answer> {
     let arrived = clock::now();
     let (head, body) = request.into_parts();
-    let ask = match (shared.dialect.ask)(&head) {
+    let ask = match (shared.dialect.parse_call)(&head) {
         Ok(ask) => ask,
         Err(e) => return plain(StatusCode::BAD_REQUEST, &e.to_string()),
     };
@@ -344,7 +344,7 @@
 ) -> Response<Answer> {
     let reason = refusal.map_or_else(|| status.to_string(), |r| r.reason.to_string());
     let mut response = plain(status, &reason);
-    (shared.dialect.own)(response.headers_mut(), id);
+    (shared.dialect.set_request_id)(response.headers_mut(), id);
     if let Some(refusal) = refusal
         && status == StatusCode::SERVICE_UNAVAILABLE
     {
--- a/gateway/src/dialect.rs
+++ b/gateway/src/dialect.rs
@@ -17,7 +17,7 @@
     /// Organisation by name, if the call needed a key.
     pub organisation: Option<&'a str>,
     /// Milliseconds that are left.
-    pub left_ms: u64,
+    pub remaining_ms: u64,
     /// How urgent it is.
     pub rank: Rank,
     /// Last event that the caller has, if the stream goes on.
@@ -63,11 +63,11 @@
 #[derive(Clone, Copy)]
 pub struct Dialect {
     /// Reads the head of a call.
-    pub ask: fn(&request::Parts) -> Result<Ask, Malformed>,
+    pub parse_call: fn(&request::Parts) -> Result<Ask, Malformed>,
     /// Changes a call's headers for one attempt.
-    pub attempt: fn(&mut HeaderMap, &Attempt<'_>),
+    pub prepare_attempt: fn(&mut HeaderMap, &Attempt<'_>),
     /// Reads the head of an answer.
-    pub head: fn(&HeaderMap) -> Metadata,
+    pub parse_response: fn(&HeaderMap) -> Metadata,
     /// Writes the id of the call on an answer of the gateway's own.
-    pub own: fn(&mut HeaderMap, &Bytes),
+    pub set_request_id: fn(&mut HeaderMap, &Bytes),
 }
--- a/gateway/src/dialect/own.rs
+++ b/gateway/src/dialect/own.rs
@@ -39,7 +39,7 @@
 
 /// The product's own dialect.
 pub fn dialect() -> Dialect {
-    Dialect { ask, attempt, head, own }
+    Dialect { parse_call, prepare_attempt, parse_response, set_request_id }
 }
 
 fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
@@ -58,7 +58,7 @@
     })
 }
 
-fn ask(parts: &request::Parts) -> Result<Ask, Malformed> {
+fn parse_call(parts: &request::Parts) -> Result<Ask, Malformed> {
     let headers = &parts.headers;
     let id = headers.get(ID).ok_or(Malformed::Missing(ID))?;
     let host = text(headers, "host").ok_or(Malformed::Missing("host"))?;
@@ -81,7 +81,7 @@
     Some(Part { id: u64::from_str_radix(id, 16).ok()?, tokens: tokens.parse().ok()? })
 }
 
-fn attempt(headers: &mut HeaderMap, attempt: &Attempt<'_>) {
+fn prepare_attempt(headers: &mut HeaderMap, attempt: &Attempt<'_>) {
     headers.remove(header::AUTHORIZATION);
     headers.remove(ORGANISATION);
     let mut set = |name: &'static str, value: &[u8]| {
@@ -90,7 +90,7 @@
         }
     };
     set(REPLICA, attempt.replica.as_bytes());
-    set(PATIENCE, attempt.left_ms.to_string().as_bytes());
+    set(PATIENCE, attempt.remaining_ms.to_string().as_bytes());
     set(RANK, attempt.rank.route.to_string().as_bytes());
     if let Some(organisation) = attempt.organisation {
         set(ORGANISATION, organisation.as_bytes());
@@ -100,7 +100,7 @@
     }
 }
 
-fn head(headers: &HeaderMap) -> Metadata {
+fn parse_response(headers: &HeaderMap) -> Metadata {
     let load = |value: &str| {
         let mut numbers = value.split(',').map(|n| n.trim().parse().ok());
         let (running, waiting) = (numbers.next()??, numbers.next()??);
@@ -115,7 +115,7 @@
     }
 }
 
-fn own(headers: &mut HeaderMap, id: &Bytes) {
+fn set_request_id(headers: &mut HeaderMap, id: &Bytes) {
     if let Ok(value) = HeaderValue::from_bytes(id) {
         headers.insert(HeaderName::from_static(ID), value);
     }
--- a/gateway/tests/decoders.rs
+++ b/gateway/tests/decoders.rs
@@ -124,7 +124,7 @@
             headers.entry(name).or_insert(value.clone());
         }
 
-        let head = (own::dialect().head)(&headers);
+        let head = (own::dialect().parse_response)(&headers);
 
         prop_assert_eq!(head.id, Some(Bytes::from_static(b"call-1")));
     }
