--- a/gateway/src/duty/lead.rs
+++ b/gateway/src/duty/lead.rs
@@ -14,7 +14,7 @@
 use crate::log::Line;
 use crate::shared::Shared;
 use crate::store::Error;
-use crate::store::bounded;
+use crate::store::with_timeout;
 
 /// Campaigns, renews and resigns, for ever.
 pub async fn lead(shared: Shared, eras: Eras) {
@@ -40,7 +40,7 @@
             Step::Campaign => campaign(&shared, duties, &eras).await,
             Step::Renew(lease) => renew(&shared, duties, &eras, lease).await,
             Step::Release(lease) => {
-                let result = bounded((duties.calls.release)(lease)).await;
+                let result = with_timeout((duties.calls.release)(lease)).await;
                 shared.metrics.store_call("release", result.is_ok());
                 duties.election.borrow_mut().released(clock::now());
             }
@@ -59,7 +59,7 @@
 async fn campaign(shared: &Shared, duties: &State, eras: &Eras) {
     duties.election.borrow_mut().campaigning();
     let sent = clock::now();
-    let acquired = bounded((duties.calls.acquire)(duties.rules.election.lease)).await;
+    let acquired = with_timeout((duties.calls.acquire)(duties.rules.election.lease)).await;
     shared.metrics.store_call("acquire", acquired.is_ok());
     let acquired = match acquired {
         Ok(acquired) => acquired,
@@ -69,7 +69,7 @@
             return;
         }
     };
-    let stored = bounded((duties.calls.read)()).await;
+    let stored = with_timeout((duties.calls.read)()).await;
     shared.metrics.store_call("journal", stored.is_ok());
     let stored = match stored {
         Ok(stored) if eras.newest().unwrap_or(0) == acquired.position.era => stored,
@@ -115,13 +115,13 @@
 
 async fn renew(shared: &Shared, duties: &State, eras: &Eras, lease: u64) {
     let sent = clock::now();
-    let result = bounded((duties.calls.renew)(lease)).await;
+    let result = with_timeout((duties.calls.renew)(lease)).await;
     shared.metrics.store_call("renew_leader", result.is_ok());
     let (now, era) = (clock::now(), eras.newest().unwrap_or(0));
     let mut election = duties.election.borrow_mut();
     match result {
         Ok(()) => election.renewed(now, sent, era),
-        Err(Error::Ended) => election.lose(now, leader::End::LeaseEnded),
+        Err(Error::NotFound) => election.lose(now, leader::End::LeaseEnded),
         Err(_) => election.renewal_failed(now),
     }
 }
--- a/gateway/src/duty/term.rs
+++ b/gateway/src/duty/term.rs
@@ -21,7 +21,7 @@
 use crate::log::Line;
 use crate::shared::Shared;
 use crate::store::Error;
-use crate::store::bounded;
+use crate::store::with_timeout;
 
 /// Time from one look of the leader for something to do to the next.
 const WORK: Duration = Duration::from_millis(250);
@@ -112,7 +112,7 @@
     /// Whether the journal is known and is that of this term's era.
     async fn has_journal(&mut self) -> bool {
         if self.is_stale {
-            let stored = bounded((self.duties.calls.read)()).await;
+            let stored = with_timeout((self.duties.calls.read)()).await;
             self.shared.metrics.store_call("journal", stored.is_ok());
             let Ok(stored) = stored else {
                 return false;
@@ -138,7 +138,7 @@
 
     async fn write(&mut self, token: Token, journal: Journal) -> bool {
         let write = Write { journal: journal.clone(), revision: self.stored.revision, token };
-        let result = bounded((self.duties.calls.write)(write)).await;
+        let result = with_timeout((self.duties.calls.write)(write)).await;
         self.shared.metrics.store_call("journal", result.is_ok());
         match result {
             Ok(revision) if self.eras.newest().unwrap_or(0) == token.era() => {
--- a/gateway/src/gateway.rs
+++ b/gateway/src/gateway.rs
@@ -164,13 +164,14 @@
         spawn(Box::pin(write_lines(shared.clone())));
         let eras = self.store.eras;
         spawn(Box::pin(era::follow(shared.clone(), eras.clone())));
-        let (read, keep) = (self.store.read, self.store.keep);
-        let following = store::Following { eras: eras.clone(), read, keep };
-        spawn(Box::pin(store::follow(shared.clone(), following)));
+        let (read, write_quarantine) = (self.store.read, self.store.write_quarantine);
+        let follower = store::Follower { eras: eras.clone(), read, write_quarantine };
+        spawn(Box::pin(store::follow(shared.clone(), follower)));
         spawn(Box::pin(serve_plain(shared.clone(), views, view::answer)));
         let (announce, renew) = (self.store.announce, self.store.renew);
-        let enlist = store::enlist(shared.clone(), entry, eras.clone(), announce, renew);
-        spawn(Box::pin(enlist));
+        let entry_task =
+            store::maintain_entry(shared.clone(), entry, eras.clone(), announce, renew);
+        spawn(Box::pin(entry_task));
         spawn(Box::pin(peers::beat(shared.clone())));
         spawn(Box::pin(peers::hear(shared.clone())));
         spawn(Box::pin(peers::report(shared.clone())));
--- a/gateway/src/quarantine.rs
+++ b/gateway/src/quarantine.rs
@@ -96,7 +96,7 @@
     let Some(records) = shared.gateway.borrow().to_keep(clock::now(), &known) else {
         return;
     };
-    let result = store::bounded(write(dated(&records, now_ms), stored.revision)).await;
+    let result = store::with_timeout(write(dated(&records, now_ms), stored.revision)).await;
     shared.metrics.store_call("keep", result.is_ok());
     let line = Line::new("quarantine_stored").with("fingerprints", records.len());
     shared.log(match result {
--- a/gateway/src/store.rs
+++ b/gateway/src/store.rs
@@ -49,10 +49,10 @@
 /// Time to the next try after a failed one; calls that are refused cost as much as others.
 const AGAIN: Duration = Duration::from_millis(300);
 /// Longest wait for one call: many times the usual few milliseconds.
-pub(crate) const PATIENCE: Duration = Duration::from_millis(900);
+pub(crate) const CALL_TIMEOUT: Duration = Duration::from_millis(900);
 /// Longest wait for a whole read, which may take many calls, and for a whole view on a narrow link:
 /// its proof ages from its beginning, and an older one would not be worth having.
-pub(crate) const WHOLE_READ: Duration = Duration::from_millis(3_500);
+pub(crate) const READ_TIMEOUT: Duration = Duration::from_millis(3_500);
 /// Largest answer that is read, in bytes: several times a view of 10,000 replicas and as many routes
 /// and organisations, and a fifth of a small host's memory.
 const LARGEST: usize = 16 << 20;
@@ -104,7 +104,7 @@
     Unreachable(String),
     /// No answer in time; what was asked may have been done.
     #[error("no answer")]
-    Silent,
+    TimedOut,
     /// The store refused.
     #[error("refused with status {0}")]
     Refused(u16),
@@ -113,7 +113,7 @@
     Outdated,
     /// The lease has ended.
     #[error("the lease has ended")]
-    Ended,
+    NotFound,
     /// The answer can't be understood.
     #[error("answer not understood: {0}")]
     Malformed(String),
@@ -131,7 +131,7 @@
     /// Writes the gateway's entry under a new lease of this length; returns the lease.
     pub announce: Box<dyn FnMut(Entry, Duration) -> Reply<u64>>,
     /// Replaces the records of the quarantine that were read with this revision.
-    pub keep: Box<dyn FnMut(Vec<quarantine::Record>, u64) -> Reply<()>>,
+    pub write_quarantine: Box<dyn FnMut(Vec<quarantine::Record>, u64) -> Reply<()>>,
     /// Renews a lease.
     pub renew: Box<dyn FnMut(u64) -> Reply<()>>,
     /// Ends a lease, and the entry with it.
@@ -142,9 +142,9 @@
 ///
 /// # Errors
 ///
-/// [`Error::Silent`] if it takes longer, or the call's own.
-pub async fn bounded<T>(call: impl Future<Output = Result<T, Error>>) -> Result<T, Error> {
-    tokio::time::timeout(PATIENCE, call).await.unwrap_or(Err(Error::Silent))
+/// [`Error::TimedOut`] if it takes longer, or the call's own.
+pub async fn with_timeout<T>(call: impl Future<Output = Result<T, Error>>) -> Result<T, Error> {
+    tokio::time::timeout(CALL_TIMEOUT, call).await.unwrap_or(Err(Error::TimedOut))
 }
 
 /// Reads the body of an answer, of which each part must come within the time that one call may take.
@@ -154,12 +154,12 @@
 ///
 /// # Errors
 ///
-/// [`Error::Silent`] if nothing more comes, or that the answer broke off or is too large.
+/// [`Error::TimedOut`] if nothing more comes, or that the answer broke off or is too large.
 pub async fn collect(body: Incoming) -> Result<Bytes, Error> {
     let mut body = Limited::new(body, LARGEST);
     let mut bytes = BytesMut::new();
     loop {
-        let frame = bounded(async { Ok(body.frame().await) }).await?;
+        let frame = with_timeout(async { Ok(body.frame().await) }).await?;
         match frame {
             Some(Ok(frame)) => bytes.extend(frame.into_data()),
             Some(Err(e)) => return Err(Error::Unreachable(e.to_string())),
@@ -169,31 +169,31 @@
 }
 
 /// What following the store takes.
-pub struct Following {
+pub struct Follower {
     /// Which life of the store answers.
     pub eras: Eras,
     /// Reads everything.
     pub read: Box<dyn FnMut() -> Reply<Reading>>,
     /// Writes the records of the quarantine.
-    pub keep: Box<dyn FnMut(Vec<quarantine::Record>, u64) -> Reply<()>>,
+    pub write_quarantine: Box<dyn FnMut(Vec<quarantine::Record>, u64) -> Reply<()>>,
 }
 
 /// Reads everything within the time that a whole read may take.
 ///
 /// A read in which the store came back from an older copy is part of one life and part of another, so
 /// it is none.
-async fn read_whole(following: &mut Following) -> Result<Reading, Error> {
-    let era = following.eras.newest();
-    let whole = tokio::time::timeout(WHOLE_READ, (following.read)()).await;
-    let reading = whole.unwrap_or(Err(Error::Silent))?;
-    if era.is_some() && following.eras.newest() != era {
+async fn read_whole(follower: &mut Follower) -> Result<Reading, Error> {
+    let era = follower.eras.newest();
+    let whole = tokio::time::timeout(READ_TIMEOUT, (follower.read)()).await;
+    let reading = whole.unwrap_or(Err(Error::TimedOut))?;
+    if era.is_some() && follower.eras.newest() != era {
         return Err(Error::Outdated);
     }
     Ok(reading)
 }
 
 /// Keeps up with the store for ever: a reader by reading, any other gateway by asking a reader.
-pub async fn follow(shared: Shared, mut following: Following) {
+pub async fn follow(shared: Shared, mut follower: Follower) {
     let mut sound = true;
     loop {
         let (readers, is_reader) = shared.gateway.borrow().readers(clock::now());
@@ -202,8 +202,8 @@
             continue;
         }
         let sent = clock::now();
-        let result = read_whole(&mut following).await;
-        era::tell(&shared, &following.eras);
+        let result = read_whole(&mut follower).await;
+        era::tell(&shared, &follower.eras);
         shared.metrics.store_call("read", result.is_ok());
         match result {
             Ok(reading) => {
@@ -214,7 +214,7 @@
                 let stored = take_reading(&shared, sent, reading);
                 // The readers write for all: a few, so that a fleet does not write the same at once.
                 if is_reader {
-                    quarantine::keep(&shared, &stored, &mut following.keep).await;
+                    quarantine::keep(&shared, &stored, &mut follower.write_quarantine).await;
                 }
                 let waits = shared.gateway.borrow().version() == 0;
                 let pause = if waits { WAITING } else { PERIOD };
@@ -387,7 +387,7 @@
 }
 
 /// Keeps the gateway's entry alive for ever, once it knows a configuration.
-pub async fn enlist(
+pub async fn maintain_entry(
     shared: Shared,
     entry: Entry,
     eras: Eras,
@@ -400,7 +400,7 @@
             tokio::time::sleep(Duration::from_millis(100)).await;
             continue;
         }
-        let result = bounded(announce(entry.clone(), LEASE)).await;
+        let result = with_timeout(announce(entry.clone(), LEASE)).await;
         shared.metrics.store_call("announce", result.is_ok());
         let Ok(lease) = result else {
             tokio::time::sleep(jittered(&shared, AGAIN * 2)).await;
@@ -422,9 +422,9 @@
             if shared.gateway.borrow().is_stopping() {
                 return;
             }
-            let result = bounded(renew(lease)).await;
+            let result = with_timeout(renew(lease)).await;
             shared.metrics.store_call("renew", result.is_ok());
-            if result == Err(Error::Ended) {
+            if result == Err(Error::NotFound) {
                 shared.log(Line::new("lease_ended").with("lease", lease));
                 break;
             }
@@ -435,7 +435,7 @@
 /// Takes the entry out of the store; the lease ends it anyway if that fails.
 pub async fn withdraw(shared: &Shared, mut withdraw: Box<dyn FnMut(u64) -> Reply<()>>) {
     if let Some(lease) = shared.lease.take() {
-        let result = bounded(withdraw(lease)).await;
+        let result = with_timeout(withdraw(lease)).await;
         shared.metrics.store_call("withdraw", result.is_ok());
     }
 }
--- a/gateway/src/view.rs
+++ b/gateway/src/view.rs
@@ -27,9 +27,9 @@
 use crate::log::Line;
 use crate::shared::Shared;
 use crate::store;
+use crate::store::CALL_TIMEOUT;
 use crate::store::Error;
-use crate::store::PATIENCE;
-use crate::store::WHOLE_READ;
+use crate::store::READ_TIMEOUT;
 
 /// Encoded differences that are kept: one for each state that askers are in after a change.
 const DELTAS: usize = 16;
@@ -114,10 +114,10 @@
     known: Option<&Known>,
 ) -> Result<(Time, Delta), Error> {
     let asked = clock::now();
-    let head = tokio::time::timeout(PATIENCE, head(address, known)).await;
-    let (_channel, response) = head.unwrap_or(Err(Error::Silent))?;
-    let body = tokio::time::timeout(WHOLE_READ, store::collect(response.into_body())).await;
-    let bytes = body.unwrap_or(Err(Error::Silent))?;
+    let head = tokio::time::timeout(CALL_TIMEOUT, head(address, known)).await;
+    let (_channel, response) = head.unwrap_or(Err(Error::TimedOut))?;
+    let body = tokio::time::timeout(READ_TIMEOUT, store::collect(response.into_body())).await;
+    let bytes = body.unwrap_or(Err(Error::TimedOut))?;
     let (age, delta) =
         bytes.split_first_chunk::<8>().ok_or(Error::Malformed("too short".to_owned()))?;
     let delta = Delta::decode(delta).map_err(malformed)?;
--- a/gateway/tests/support/mod.rs
+++ b/gateway/tests/support/mod.rs
@@ -275,7 +275,7 @@
             })
         }),
         announce: Box::new(|_, _| Box::pin(async { Ok(1) })),
-        keep: Box::new(|_, _| Box::pin(async { Ok(()) })),
+        write_quarantine: Box::new(|_, _| Box::pin(async { Ok(()) })),
         renew: Box::new(|_| Box::pin(async { Ok(()) })),
         withdraw: Box::new(|_| Box::pin(async { Ok(()) })),
     }
