--- a/gateway/src/era.rs
+++ b/gateway/src/era.rs
@@ -28,7 +28,7 @@
 struct Inner {
     newest: watch::Sender<Option<u64>>,
     last_oddity: Cell<Option<Oddity>>,
-    untold: RefCell<Vec<Oddity>>,
+    unlogged: RefCell<Vec<Oddity>>,
 }
 
 /// The newest era that any answer has stated; shared by all connections to the store.
@@ -40,7 +40,7 @@
         Eras(Rc::new(Inner {
             newest: watch::Sender::new(None),
             last_oddity: Cell::new(None),
-            untold: RefCell::default(),
+            unlogged: RefCell::default(),
         }))
     }
 }
@@ -56,7 +56,7 @@
     /// # Errors
     ///
     /// [`Error::Outdated`] for an answer of a former life, which says nothing of this one.
-    pub fn hear(&self, stated: Option<&[u8]>) -> Result<(), Error> {
+    pub fn observe(&self, stated: Option<&[u8]>) -> Result<(), Error> {
         let read = |bytes| std::str::from_utf8(bytes).ok()?.trim().parse::<u64>().ok();
         let oddity = match (stated, stated.and_then(read)) {
             (None, _) => Some(Oddity::Missing),
@@ -71,31 +71,31 @@
         };
         // Logged once, not with each answer.
         if oddity != self.0.last_oddity.replace(oddity) {
-            self.0.untold.borrow_mut().extend(oddity);
+            self.0.unlogged.borrow_mut().extend(oddity);
         }
         if oddity == Some(Oddity::Earlier) { Err(Error::Outdated) } else { Ok(()) }
     }
 
     /// Waits for a rise from one era to a later one.
-    pub fn rises(&self) -> Rises {
-        Rises { seen: self.newest(), newest: self.0.newest.subscribe() }
+    pub fn watch(&self) -> Watcher {
+        Watcher { seen: self.newest(), newest: self.0.newest.subscribe() }
     }
 
     /// What is odd and has not been logged.
-    fn take_untold(&self) -> Vec<Oddity> {
-        std::mem::take(&mut self.0.untold.borrow_mut())
+    fn take_unlogged(&self) -> Vec<Oddity> {
+        std::mem::take(&mut self.0.unlogged.borrow_mut())
     }
 }
 
 /// The rises that come from now on.
 #[derive(Debug)]
-pub struct Rises {
+pub struct Watcher {
     /// The era returned last. A rise may come while nobody waits for one.
     seen: Option<u64>,
     newest: watch::Receiver<Option<u64>>,
 }
 
-impl Rises {
+impl Watcher {
     /// The next rise, as the eras before and after it; the first era that is stated is none.
     pub async fn next(&mut self) -> (u64, u64) {
         loop {
@@ -116,9 +116,9 @@
 
 /// Takes each return of the store in and logs it, for ever.
 pub async fn follow(shared: Shared, eras: Eras) {
-    let mut rises = eras.rises();
+    let mut watcher = eras.watch();
     loop {
-        let (before, after) = rises.next().await;
+        let (before, after) = watcher.next().await;
         let now = clock::now();
         let mut gateway = shared.gateway.borrow_mut();
         gateway.store_returned(now);
@@ -135,8 +135,8 @@
 }
 
 /// Logs what is odd about the eras of answers.
-pub fn tell(shared: &Shared, eras: &Eras) {
-    for oddity in eras.take_untold() {
+pub fn log_oddities(shared: &Shared, eras: &Eras) {
+    for oddity in eras.take_unlogged() {
         shared.metrics.count("store_era_oddities_total", format!("kind=\"{oddity}\""));
         shared.log(
             Line::new("store_era_odd")
--- a/gateway/src/flaw.rs
+++ b/gateway/src/flaw.rs
@@ -60,24 +60,24 @@
 
 /// Malformed entries that have been logged.
 #[derive(Debug, Default)]
-pub struct Told {
+pub struct Tracker {
     flaws: BTreeMap<(Subject, String), Kind>,
     /// There are more than are tracked, and that has been logged.
-    more: bool,
+    has_untracked: bool,
 }
 
 /// How the flaws of one read differ from those of the read before.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Changes {
     /// Appeared, or of another kind than before.
-    pub came: Vec<Flaw>,
+    pub appeared: Vec<Flaw>,
     /// Readable again, or gone.
-    pub went: Vec<Flaw>,
+    pub resolved: Vec<Flaw>,
     /// Number of entries beyond the tracked ones, when there begin to be any.
-    pub more: Option<usize>,
+    pub untracked: Option<usize>,
 }
 
-impl Told {
+impl Tracker {
     /// Merges the malformed entries of a sound read; returns what to log.
     pub fn update(&mut self, found: &[Flaw]) -> Changes {
         let mut now: BTreeMap<(Subject, String), Kind> =
@@ -88,12 +88,12 @@
             let cut = cut.clone();
             now.split_off(&cut);
         }
-        let more = (count > MOST && !self.more).then(|| count - MOST);
-        self.more = count > MOST;
-        let came = differing(&now, &self.flaws, |before, kind| before != Some(kind));
-        let went = differing(&self.flaws, &now, |after, _| after.is_none());
+        let untracked = (count > MOST && !self.has_untracked).then(|| count - MOST);
+        self.has_untracked = count > MOST;
+        let appeared = differing(&now, &self.flaws, |before, kind| before != Some(kind));
+        let resolved = differing(&self.flaws, &now, |after, _| after.is_none());
         self.flaws = now;
-        Changes { came, went, more }
+        Changes { appeared, resolved, untracked }
     }
 }
 
@@ -109,18 +109,18 @@
 }
 
 /// Logs and counts what is new among the flaws of a sound read.
-pub fn tell(shared: &Shared, told: &RefCell<Told>, found: &[Flaw]) {
+pub fn log_changes(shared: &Shared, told: &RefCell<Tracker>, found: &[Flaw]) {
     let changes = told.borrow_mut().update(found);
-    for flaw in &changes.came {
+    for flaw in &changes.appeared {
         let label = format!("of=\"{}\",kind=\"{}\"", flaw.subject, flaw.kind);
         shared.metrics.count("entry_flaws_total", label);
         shared.log(line("entry_flawed", flaw).with("kind", flaw.kind));
     }
-    for flaw in &changes.went {
+    for flaw in &changes.resolved {
         shared.log(line("entry_flaw_ended", flaw));
     }
-    if let Some(more) = changes.more {
-        shared.log(Line::new("entries_flawed_beyond").with("count", more));
+    if let Some(count) = changes.untracked {
+        shared.log(Line::new("entries_flawed_beyond").with("count", count));
     }
 }
 
--- a/gateway/src/shared.rs
+++ b/gateway/src/shared.rs
@@ -15,7 +15,7 @@
 use crate::channel::Pool;
 use crate::dialect::Dialect;
 use crate::duty;
-use crate::flaw::Told;
+use crate::flaw::Tracker;
 use crate::log::Line;
 use crate::log::Log;
 use crate::metrics::Metrics;
@@ -37,7 +37,7 @@
     /// Differences between views in encoded form.
     pub deltas: RefCell<Deltas>,
     /// Flawed entries of the store that have been logged.
-    pub flaws: RefCell<Told>,
+    pub flaws: RefCell<Tracker>,
     /// Questions to other gateways that wait for an answer.
     pub questions: RefCell<Questions>,
     /// Datagrams between gateways.
--- a/gateway/src/store.rs
+++ b/gateway/src/store.rs
@@ -203,7 +203,7 @@
         }
         let sent = clock::now();
         let result = read_whole(&mut follower).await;
-        era::tell(&shared, &follower.eras);
+        era::log_oddities(&shared, &follower.eras);
         shared.metrics.store_call("read", result.is_ok());
         match result {
             Ok(reading) => {
@@ -340,7 +340,7 @@
         reading.view.config = shared.gateway.borrow().config().cloned();
     }
     reading.flaws.extend(of_unknown_services(&reading.view));
-    flaw::tell(shared, &shared.flaws, &reading.flaws);
+    flaw::log_changes(shared, &shared.flaws, &reading.flaws);
     let known = Known::new(reading.view, shared.views.borrow().newest());
     take(shared, sent, known, Source::Store, readable);
     reading.fingerprints
@@ -394,7 +394,7 @@
     mut announce: Box<dyn FnMut(Entry, Duration) -> Reply<u64>>,
     mut renew: Box<dyn FnMut(u64) -> Reply<()>>,
 ) {
-    let mut rises = eras.rises();
+    let mut watcher = eras.watch();
     loop {
         if shared.gateway.borrow().version() == 0 {
             tokio::time::sleep(Duration::from_millis(100)).await;
@@ -411,7 +411,7 @@
         loop {
             // After a return the lease is nobody's, or another's, and renewing it would succeed.
             tokio::select! {
-                _ = rises.next() => {
+                _ = watcher.next() => {
                     let spread = shared.rng.borrow_mut().random_range(0.0..1.0);
                     tokio::time::sleep(ANNOUNCING.mul_f64(spread)).await;
                     shared.log(Line::new("lease_ended").with("lease", lease).with("cause", "return"));
--- a/gateway/tests/eras.rs
+++ b/gateway/tests/eras.rs
@@ -21,10 +21,10 @@
 #[test]
 fn an_answer_of_an_earlier_era_is_none() {
     let eras = Eras::default();
-    eras.hear(Some(b"3")).unwrap();
-    eras.hear(Some(b"4")).unwrap();
+    eras.observe(Some(b"3")).unwrap();
+    eras.observe(Some(b"4")).unwrap();
 
-    let late = eras.hear(Some(b"3"));
+    let late = eras.observe(Some(b"3"));
 
     assert_eq!(late, Err(Error::Outdated));
     assert_eq!(eras.newest(), Some(4));
@@ -34,10 +34,10 @@
 #[test]
 fn a_missing_or_unreadable_era_counts_as_the_one_before() {
     let eras = Eras::default();
-    eras.hear(Some(b"3")).unwrap();
+    eras.observe(Some(b"3")).unwrap();
 
     for stated in [None, Some(&b""[..]), Some(b"x"), Some(b"\xff"), Some(b"-1"), Some(b"1e9")] {
-        assert_eq!(eras.hear(stated), Ok(()));
+        assert_eq!(eras.observe(stated), Ok(()));
     }
 
     assert_eq!(eras.newest(), Some(3));
@@ -50,7 +50,7 @@
     run(async {
         let read = |number: u32, eras: &Eras| {
             let era: &[u8] = if number == 1 { b"1" } else { b"2" };
-            eras.hear(Some(era)).unwrap();
+            eras.observe(Some(era)).unwrap();
             let version = [1, 9, 5][number.min(3) as usize - 1];
             View { config: Some(Arc::new(config(version))), ..View::default() }
         };
@@ -66,14 +66,14 @@
 fn a_rise_is_told_once_and_the_first_era_is_none() {
     run(async {
         let eras = Eras::default();
-        let mut rises = eras.rises();
-        eras.hear(Some(b"1")).unwrap();
-        let first = tokio::time::timeout(QUIET, rises.next()).await;
-        eras.hear(Some(b"1")).unwrap();
-        eras.hear(Some(b"2")).unwrap();
-
-        let second = tokio::time::timeout(QUIET, rises.next()).await;
-        let third = tokio::time::timeout(QUIET, rises.next()).await;
+        let mut watcher = eras.watch();
+        eras.observe(Some(b"1")).unwrap();
+        let first = tokio::time::timeout(QUIET, watcher.next()).await;
+        eras.observe(Some(b"1")).unwrap();
+        eras.observe(Some(b"2")).unwrap();
+
+        let second = tokio::time::timeout(QUIET, watcher.next()).await;
+        let third = tokio::time::timeout(QUIET, watcher.next()).await;
 
         assert!(first.is_err());
         assert_eq!(second, Ok((1, 2)));
--- a/gateway/tests/flaws.rs
+++ b/gateway/tests/flaws.rs
@@ -4,7 +4,7 @@
 use laburnumwheel_gateway::flaw::Flaw;
 use laburnumwheel_gateway::flaw::Kind;
 use laburnumwheel_gateway::flaw::Subject;
-use laburnumwheel_gateway::flaw::Told;
+use laburnumwheel_gateway::flaw::Tracker;
 
 fn flaw(key: &str, kind: Kind) -> Flaw {
     Flaw { subject: Subject::Replica, key: key.to_owned(), kind }
@@ -12,27 +12,30 @@
 
 #[test]
 fn a_flaw_is_told_when_it_appears_changes_and_goes() {
-    let mut told = Told::default();
+    let mut tracker = Tracker::default();
     let (cut, odd) = (flaw("a", Kind::Bytes), flaw("a", Kind::State));
 
     let seen = [vec![cut.clone()], vec![cut.clone()], vec![odd.clone()], vec![], vec![]];
-    let changes = seen.map(|found| told.update(&found));
-
-    let came = |flaw| Changes { came: vec![flaw], ..Changes::default() };
-    let went = Changes { went: vec![odd.clone()], ..Changes::default() };
-    assert_eq!(changes, [came(cut), Changes::default(), came(odd), went, Changes::default()]);
+    let changes = seen.map(|found| tracker.update(&found));
+
+    let appeared = |flaw| Changes { appeared: vec![flaw], ..Changes::default() };
+    let resolved = Changes { resolved: vec![odd.clone()], ..Changes::default() };
+    assert_eq!(
+        changes,
+        [appeared(cut), Changes::default(), appeared(odd), resolved, Changes::default()]
+    );
 }
 
 /// A writer gone wild leaves thousands of stray entries. Logged one by one at each read they fill
 /// the log, and what matters is dropped; remembered one by one they fill the memory.
 #[test]
 fn of_very_many_flaws_only_some_are_told_and_only_once() {
-    let mut told = Told::default();
+    let mut tracker = Tracker::default();
     let many: Vec<Flaw> = (0..5_000).map(|i| flaw(&format!("i-{i:04}"), Kind::Field)).collect();
 
-    let first = told.update(&many);
-    let second = told.update(&many);
+    let first = tracker.update(&many);
+    let second = tracker.update(&many);
 
-    assert_eq!((first.came.len(), first.more), (64, Some(4_936)));
+    assert_eq!((first.appeared.len(), first.untracked), (64, Some(4_936)));
     assert_eq!(second, Changes::default());
 }
