--- a/core/src/gateway/leader.rs
+++ b/core/src/gateway/leader.rs
@@ -61,26 +61,26 @@
 
 /// Times of an election, the same at all gateways.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Rules {
+pub struct Timing {
     /// Life of the lease without renewal.
-    pub lease: Span,
+    pub lease_duration: Span,
     /// Time limit of one call of a duty.
-    pub call: Span,
+    pub call_timeout: Span,
     /// Time for which bytes of an abandoned call may still be on their way.
-    pub settle: Span,
+    pub max_transit: Span,
     /// Time before a former leader, or a gateway that has just started, may campaign.
-    pub stand_back: Span,
+    pub cooldown: Span,
 }
 
 /// A term that has just been won.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Victory {
+pub struct Lease {
     /// When the request for the lease was sent.
     pub sent: Time,
     /// Lease of the leader's record.
-    pub lease: u64,
+    pub id: u64,
     /// Life of the lease, as the store granted it.
-    pub granted: Span,
+    pub ttl: Span,
     /// Position of the write of the leader's record.
     pub position: Position,
     /// Era of the last known term before; `None` if there is no record of it.
@@ -111,7 +111,7 @@
 
 /// Who leads, as gateways tell one another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Notice {
+pub struct Identity {
     /// Token of the term.
     pub token: u64,
     /// Short hash of the leader's name.
@@ -135,7 +135,7 @@
 /// Why a term ended.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 #[display(rename_all = "snake_case")]
-pub enum End {
+pub enum Cause {
     /// The lease has ended.
     LeaseEnded,
     /// The store came back from an older copy.
@@ -159,7 +159,7 @@
     calls: u32,
     failures: u32,
     failing_since: Option<Time>,
-    ending: Option<End>,
+    ending: Option<Cause>,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -172,23 +172,23 @@
 /// One gateway's part in the election.
 #[derive(Debug)]
 pub struct Election {
-    rules: Rules,
+    timing: Timing,
     role: Role,
     not_before: Time,
     /// Newest sound read of the store, and since when reads have shown no leader.
     observed: Option<Time>,
     absent_since: Option<Time>,
     stopping: bool,
-    ended: BTreeMap<u64, End>,
+    ended: BTreeMap<u64, Cause>,
 }
 
 impl Election {
     /// A gateway that has just started; it may have led a moment before, unless the whole system starts
     /// for the first time.
-    pub fn new(rules: Rules, now: Time, is_first_start: bool) -> Election {
-        let stand_back = if is_first_start { Span(0) } else { rules.stand_back };
+    pub fn new(timing: Timing, now: Time, is_first_start: bool) -> Election {
+        let stand_back = if is_first_start { Span(0) } else { timing.cooldown };
         Election {
-            rules,
+            timing,
             role: Role::Follower,
             not_before: now + stand_back,
             observed: None,
@@ -199,8 +199,8 @@
     }
 
     /// Times of the election.
-    pub fn rules(&self) -> Rules {
-        self.rules
+    pub fn timing(&self) -> Timing {
+        self.timing
     }
 
     /// Takes in the revision of the leader's record, if there is one, that a read of the store found at
@@ -214,7 +214,7 @@
         }
         if let Role::Leader(term) = self.role {
             if sent >= term.began && record != Some(term.token.revision()) {
-                self.lose(now, End::LeaseEnded);
+                self.end_term(now, Cause::LeaseEnded);
             }
             return;
         }
@@ -247,7 +247,7 @@
                 return Step::Release(term.lease);
             }
             if now >= term.valid_until {
-                self.lose(now, End::LeaseEnded);
+                self.end_term(now, Cause::LeaseEnded);
             }
             return Step::Wait(HEAD_START);
         }
@@ -265,7 +265,7 @@
     }
 
     /// Records that a campaign has begun.
-    pub fn campaigning(&mut self) {
+    pub fn start_campaign(&mut self) {
         self.role = Role::Candidate;
         // The next one needs a read that began after this one.
         self.absent_since = None;
@@ -273,7 +273,7 @@
     }
 
     /// Records that a campaign was lost, or has no known outcome.
-    pub fn defeated(&mut self) {
+    pub fn fail_campaign(&mut self) {
         self.role = Role::Follower;
     }
 
@@ -281,39 +281,39 @@
     ///
     /// Where the last term began in another era, or nobody knows, its leader may not have learned yet
     /// that the store forgot it, and goes on until its lease would have lapsed.
-    pub fn won(&mut self, now: Time, victory: &Victory) -> bool {
-        let granted = victory.granted.min(self.rules.lease);
-        let valid_until = victory.sent + granted;
-        let Some(token) = Token::new(victory.position) else {
+    pub fn begin_term(&mut self, now: Time, lease: &Lease) -> bool {
+        let ttl = lease.ttl.min(self.timing.lease_duration);
+        let valid_until = lease.sent + ttl;
+        let Some(token) = Token::new(lease.position) else {
             self.role = Role::Follower;
             return false;
         };
-        let same_era = victory.last_era == Some(victory.position.era);
-        let wait = if same_era { Span(0) } else { self.rules.lease };
+        let same_era = lease.last_era == Some(lease.position.era);
+        let wait = if same_era { Span(0) } else { self.timing.lease_duration };
         self.role = Role::Leader(Term {
             token,
-            lease: victory.lease,
+            lease: lease.id,
             began: now,
             valid_until,
-            acts_from: now + wait + self.rules.settle,
-            renew_at: victory.sent + self.renewal(),
+            acts_from: now + wait + self.timing.max_transit,
+            renew_at: lease.sent + self.renewal(),
             calls: 0,
             failures: 0,
             failing_since: None,
-            ending: self.stopping.then_some(End::Stopped),
+            ending: self.stopping.then_some(Cause::Stopped),
         });
         true
     }
 
     /// Time from one renewal to the next; two of them fit into a lease.
     fn renewal(&self) -> Span {
-        Span(self.rules.lease.0 * 2 / 5)
+        Span(self.timing.lease_duration.0 * 2 / 5)
     }
 
     /// Extends the term by a renewal that was sent at `sent`, and answered in `era`.
-    pub fn renewed(&mut self, now: Time, sent: Time, era: u64) {
+    pub fn extend_term(&mut self, now: Time, sent: Time, era: u64) {
         self.check_era(now, era);
-        let (lease, renewal) = (self.rules.lease, self.renewal());
+        let (lease, renewal) = (self.timing.lease_duration, self.renewal());
         if let Role::Leader(term) = &mut self.role {
             term.valid_until = term.valid_until.max(sent + lease);
             term.renew_at = sent + renewal;
@@ -321,7 +321,7 @@
     }
 
     /// Records that a renewal got no answer; the next one comes soon.
-    pub fn renewal_failed(&mut self, now: Time) {
+    pub fn record_renewal_failure(&mut self, now: Time) {
         let soon = Span(self.renewal().0 / 4);
         if let Role::Leader(term) = &mut self.role {
             term.renew_at = now + soon;
@@ -329,18 +329,18 @@
     }
 
     /// Ends the term at once.
-    pub fn lose(&mut self, now: Time, end: End) {
+    pub fn end_term(&mut self, now: Time, end: Cause) {
         if let Role::Leader(term) = self.role {
             self.ended.insert(term.token.get(), end);
             self.role = Role::Follower;
-            self.not_before = self.not_before.max(now + self.rules.stand_back);
+            self.not_before = self.not_before.max(now + self.timing.cooldown);
             self.absent_since = None;
             self.observed = None;
         }
     }
 
     /// Ends the term once the call in progress has ended.
-    pub fn resign(&mut self, end: End) {
+    pub fn resign(&mut self, end: Cause) {
         if let Role::Leader(term) = &mut self.role {
             term.ending = term.ending.or(Some(end));
         }
@@ -349,13 +349,13 @@
     /// Ends the term, if there is one, and campaigns no more.
     pub fn stop(&mut self) {
         self.stopping = true;
-        self.resign(End::Stopped);
+        self.resign(Cause::Stopped);
     }
 
     /// Records that the lease of the term was ended, or could not be.
-    pub fn released(&mut self, now: Time) {
+    pub fn record_release(&mut self, now: Time) {
         if let Role::Leader(term) = self.role {
-            self.lose(now, term.ending.unwrap_or(End::LeaseEnded));
+            self.end_term(now, term.ending.unwrap_or(Cause::LeaseEnded));
         }
     }
 
@@ -363,14 +363,14 @@
         if let Role::Leader(term) = self.role
             && era > term.token.era()
         {
-            self.lose(now, End::Rollback);
+            self.end_term(now, Cause::Rollback);
         }
     }
 
     /// Leave for one call of a duty at `now`, if the term outlasts it.
     pub fn begin_call(&mut self, now: Time, era: u64) -> Option<Permit> {
         self.check_era(now, era);
-        let call = self.rules.call;
+        let call = self.timing.call_timeout;
         let Role::Leader(term) = &mut self.role else {
             return None;
         };
@@ -396,20 +396,20 @@
                 term.failures = 0;
                 term.failing_since = None;
             }
-            Outcome::Fenced => self.resign(End::Fenced),
+            Outcome::Fenced => self.resign(Cause::Fenced),
             Outcome::Unanswered => {
                 term.failures += 1;
                 let since = *term.failing_since.get_or_insert(now);
                 let long = now.since(since) >= HAND_OVER_AFTER;
                 if term.failures >= HAND_OVER_FAILURES && long {
-                    self.resign(End::Unreachable);
+                    self.resign(Cause::Unreachable);
                 }
             }
         }
     }
 
     /// Token of the term, if this gateway leads and may act.
-    pub fn acting(&self, now: Time) -> Option<Token> {
+    pub fn active_token(&self, now: Time) -> Option<Token> {
         match self.role {
             Role::Leader(t) if now >= t.acts_from && now < t.valid_until && t.ending.is_none() => {
                 Some(t.token)
@@ -427,7 +427,7 @@
     }
 
     /// Terms that have ended since the last call, and why.
-    pub fn drain_ended(&mut self) -> BTreeMap<u64, End> {
+    pub fn take_ended(&mut self) -> BTreeMap<u64, Cause> {
         std::mem::take(&mut self.ended)
     }
 }
--- a/core/tests/gateway/leader.rs
+++ b/core/tests/gateway/leader.rs
@@ -3,11 +3,11 @@
 mod model;
 
 use laburnumwheel_core::gateway::leader::Election;
+use laburnumwheel_core::gateway::leader::Lease;
 use laburnumwheel_core::gateway::leader::Outcome;
-use laburnumwheel_core::gateway::leader::Rules;
 use laburnumwheel_core::gateway::leader::Step;
+use laburnumwheel_core::gateway::leader::Timing;
 use laburnumwheel_core::gateway::leader::Token;
-use laburnumwheel_core::gateway::leader::Victory;
 use laburnumwheel_core::gateway::position::Position;
 use laburnumwheel_core::time::Span;
 use laburnumwheel_core::time::Time;
@@ -16,7 +16,7 @@
 use self::model::Guards;
 use self::model::LONGEST_FLIGHT;
 use self::model::Model;
-use self::model::RULES;
+use self::model::TIMING;
 use self::model::Violation;
 
 /// Seeds played by the suite; more by hand with this variable.
@@ -63,22 +63,22 @@
 
 /// When a successor whose lease is granted as the predecessor's lapses may first call, and when the
 /// predecessor's last call arrives at the latest.
-fn handover_at_the_last_moment(rules: Rules) -> (Time, Time) {
+fn handover_at_the_last_moment(timing: Timing) -> (Time, Time) {
     let position = |revision| Position { era: 1, revision };
-    let victory = |sent, revision| Victory {
+    let lease = |sent, revision| Lease {
         sent,
-        lease: revision,
-        granted: rules.lease,
+        id: revision,
+        ttl: timing.lease_duration,
         position: position(revision),
         last_era: Some(1),
     };
     let began = Time(20_000_000);
-    let mut predecessor = Election::new(rules, Time(0), false);
-    predecessor.won(began, &victory(began, 1));
-    let lapses = began + rules.lease;
-    let last = predecessor.begin_call(lapses - rules.call, 1).unwrap();
-    let mut successor = Election::new(rules, Time(0), false);
-    successor.won(lapses, &victory(lapses, 2));
+    let mut predecessor = Election::new(timing, Time(0), false);
+    predecessor.begin_term(began, &lease(began, 1));
+    let lapses = began + timing.lease_duration;
+    let last = predecessor.begin_call(lapses - timing.call_timeout, 1).unwrap();
+    let mut successor = Election::new(timing, Time(0), false);
+    successor.begin_term(lapses, &lease(lapses, 2));
     let moments = (0..).map(|ms| lapses + Span::millis(ms));
     let first = moments.into_iter().find(|at| successor.begin_call(*at, 1).is_some());
     (first.unwrap(), last.deadline + LONGEST_FLIGHT)
@@ -86,14 +86,14 @@
 
 #[test]
 fn a_successor_waits_for_the_last_call_of_its_predecessor() {
-    let (first, last) = handover_at_the_last_moment(RULES);
+    let (first, last) = handover_at_the_last_moment(TIMING);
 
     assert!(first > last);
 }
 
 #[test]
 fn a_successor_that_does_not_wait_is_found() {
-    let (first, last) = handover_at_the_last_moment(Rules { settle: Span(0), ..RULES });
+    let (first, last) = handover_at_the_last_moment(Timing { max_transit: Span(0), ..TIMING });
 
     assert!(first < last);
 }
@@ -117,23 +117,23 @@
 
 #[test]
 fn a_former_leader_that_does_not_stand_back_is_found() {
-    let rules = Rules { stand_back: Span(0), ..RULES };
-    finds(Guards { rules, ..ALL }, &[Violation::CameBackTooSoon]);
+    let timing = Timing { cooldown: Span(0), ..TIMING };
+    finds(Guards { timing, ..ALL }, &[Violation::CameBackTooSoon]);
 }
 
 #[test]
 fn a_leader_whose_record_is_gone_stops_although_its_renewals_succeed() {
-    let mut election = Election::new(RULES, Time(0), false);
+    let mut election = Election::new(TIMING, Time(0), false);
     let position = Position { era: 1, revision: 7 };
     let sent = Time(10_000_000);
-    let granted = RULES.lease;
-    election.won(sent, &Victory { sent, lease: 5, granted, position, last_era: Some(1) });
+    let ttl = TIMING.lease_duration;
+    election.begin_term(sent, &Lease { sent, id: 5, ttl, position, last_era: Some(1) });
     let now = sent + Span::secs(1);
-    election.renewed(now, now, 1);
+    election.extend_term(now, now, 1);
 
     election.observe(now, now, Some(9));
 
-    assert_eq!(election.acting(now), None);
+    assert_eq!(election.active_token(now), None);
 }
 
 #[test]
@@ -145,17 +145,17 @@
 
 #[test]
 fn a_leader_that_does_not_reach_the_platform_hands_over() {
-    let mut election = Election::new(RULES, Time(0), false);
+    let mut election = Election::new(TIMING, Time(0), false);
     let position = Position { era: 1, revision: 7 };
-    let granted = RULES.lease;
-    election.campaigning();
+    let ttl = TIMING.lease_duration;
+    election.start_campaign();
     let sent = Time(10_000_000);
-    election.won(sent, &Victory { sent, lease: 5, granted, position, last_era: Some(1) });
+    election.begin_term(sent, &Lease { sent, id: 5, ttl, position, last_era: Some(1) });
 
     let mut now = sent;
     for _ in 0..20 {
         now = now + Span::millis(500);
-        election.renewed(now, now, 1);
+        election.extend_term(now, now, 1);
         if let Some(permit) = election.begin_call(now, 1) {
             election.end_call(now, &permit, Outcome::Unanswered);
         }
--- a/core/tests/gateway/leader/model.rs
+++ b/core/tests/gateway/leader/model.rs
@@ -4,14 +4,14 @@
 use std::collections::BTreeMap;
 use std::collections::BinaryHeap;
 
+use laburnumwheel_core::gateway::leader::Cause;
 use laburnumwheel_core::gateway::leader::Election;
-use laburnumwheel_core::gateway::leader::End;
+use laburnumwheel_core::gateway::leader::Lease;
 use laburnumwheel_core::gateway::leader::Outcome;
 use laburnumwheel_core::gateway::leader::Permit;
-use laburnumwheel_core::gateway::leader::Rules;
 use laburnumwheel_core::gateway::leader::Step;
+use laburnumwheel_core::gateway::leader::Timing;
 use laburnumwheel_core::gateway::leader::Token;
-use laburnumwheel_core::gateway::leader::Victory;
 use laburnumwheel_core::gateway::position::Position;
 use laburnumwheel_core::time::Span;
 use laburnumwheel_core::time::Time;
@@ -19,11 +19,11 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-pub const RULES: Rules = Rules {
-    lease: Span::secs(3),
-    call: Span::millis(750),
-    settle: Span::millis(500),
-    stand_back: Span::secs(6),
+pub const TIMING: Timing = Timing {
+    lease_duration: Span::secs(3),
+    call_timeout: Span::millis(750),
+    max_transit: Span::millis(500),
+    cooldown: Span::secs(6),
 };
 /// Longest time for which bytes of an abandoned call are on their way.
 pub const LONGEST_FLIGHT: Span = Span::millis(480);
@@ -39,7 +39,7 @@
 /// What guards the promises; each is taken out once.
 #[derive(Clone, Copy, Debug)]
 pub struct Guards {
-    pub rules: Rules,
+    pub timing: Timing,
     pub lease_from_before_the_request: bool,
     pub clock_before_each_write: bool,
     pub wait_after_another_era: bool,
@@ -48,7 +48,7 @@
 }
 
 pub const ALL: Guards = Guards {
-    rules: RULES,
+    timing: TIMING,
     lease_from_before_the_request: true,
     clock_before_each_write: true,
     wait_after_another_era: true,
@@ -196,7 +196,7 @@
             taken: Vec::new(),
         };
         for i in 0..count {
-            model.nodes.push(fresh(guards.rules, start));
+            model.nodes.push(fresh(guards.timing, start));
             model.start_node(i);
         }
         model.plan_faults(count);
@@ -277,7 +277,7 @@
                 return Some(violation);
             }
         }
-        let acts = |n: &Node| n.election.acting(end).is_some();
+        let acts = |n: &Node| n.election.active_token(end).is_some();
         (!self.nodes.iter().any(acts)).then_some(Violation::NoLeader)
     }
 
@@ -292,7 +292,7 @@
         }
         let other = before.iter().rposition(|(_, n, _)| *n != node)?;
         let own = before[..other].iter().rfind(|(_, n, _)| *n == node)?;
-        (at.since(own.0) < RULES.lease).then_some(Violation::CameBackTooSoon)
+        (at.since(own.0) < TIMING.lease_duration).then_some(Violation::CameBackTooSoon)
     }
 
     fn outside(&mut self, node: usize, event: Event) {
@@ -359,7 +359,7 @@
             Call::Read => Reply::Leader(held.leader.map(|(_, revision)| revision)),
             Call::Grant => {
                 held.granted += 1;
-                held.leases.insert(held.granted, self.now + RULES.lease);
+                held.leases.insert(held.granted, self.now + TIMING.lease_duration);
                 Reply::Granted(held.granted)
             }
             Call::Acquire { lease } if !held.leases.contains_key(&lease) => Reply::Ended,
@@ -375,7 +375,7 @@
             },
             Call::Renew { lease } => match held.leases.get_mut(&lease) {
                 Some(end) => {
-                    *end = self.now + RULES.lease;
+                    *end = self.now + TIMING.lease_duration;
                     Reply::Done
                 }
                 None => Reply::Ended,
@@ -474,7 +474,7 @@
             Event::Restart => {
                 let incarnation = self.nodes[i].incarnation + 1;
                 let cut = self.nodes[i].cut;
-                let fresh = fresh(self.guards.rules, self.now);
+                let fresh = fresh(self.guards.timing, self.now);
                 self.nodes[i] = Node { incarnation, cut, ..fresh };
                 self.start_node(i);
             }
@@ -506,7 +506,7 @@
         let (phase, call) = match step {
             Step::Wait(_) => return,
             Step::Campaign => {
-                self.nodes[i].election.campaigning();
+                self.nodes[i].election.start_campaign();
                 (Phase::Granting, Call::Grant)
             }
             Step::Renew(lease) => (Phase::Renewing, Call::Renew { lease }),
@@ -567,19 +567,19 @@
             }
             (Phase::Renewing, Reply::Done) => {
                 let era = if self.guards.era_ends_term { era } else { 0 };
-                node.election.renewed(now, sent, era);
+                node.election.extend_term(now, sent, era);
                 (node.phase, node.control) = (Phase::Idle, None);
             }
             (Phase::Renewing, _) => {
-                node.election.lose(now, End::LeaseEnded);
+                node.election.end_term(now, Cause::LeaseEnded);
                 (node.phase, node.control) = (Phase::Idle, None);
             }
             (Phase::Releasing, _) => {
-                node.election.released(now);
+                node.election.record_release(now);
                 (node.phase, node.control) = (Phase::Idle, None);
             }
             _ => {
-                node.election.defeated();
+                node.election.fail_campaign();
                 (node.phase, node.control) = (Phase::Idle, None);
             }
         }
@@ -590,16 +590,16 @@
         let node = &mut self.nodes[i];
         (node.phase, node.control) = (Phase::Idle, None);
         if node.era != node.position.era {
-            return node.election.defeated();
+            return node.election.fail_campaign();
         }
-        let victory = Victory {
+        let lease = Lease {
             sent,
-            lease: node.lease,
-            granted: RULES.lease,
+            id: node.lease,
+            ttl: TIMING.lease_duration,
             position: node.position,
             last_era: if waits { last } else { Some(node.position.era) },
         };
-        node.election.won(self.now, &victory);
+        node.election.begin_term(self.now, &lease);
     }
 
     fn timed_out(&mut self, i: usize, call: u32) {
@@ -616,9 +616,9 @@
             return;
         }
         match node.phase {
-            Phase::Renewing => node.election.renewal_failed(now),
-            Phase::Releasing => node.election.released(now),
-            _ => node.election.defeated(),
+            Phase::Renewing => node.election.record_renewal_failure(now),
+            Phase::Releasing => node.election.record_release(now),
+            _ => node.election.fail_campaign(),
         }
         (node.phase, node.control) = (Phase::Idle, None);
     }
@@ -634,7 +634,7 @@
     fn work(&mut self, i: usize) {
         self.later(WORK_PERIOD, i, Event::Work);
         let (now, era) = (self.now, self.known_era(i));
-        let Some(token) = self.nodes[i].election.acting(now) else {
+        let Some(token) = self.nodes[i].election.active_token(now) else {
             return;
         };
         if self.nodes[i].inaugurating.is_some() || self.nodes[i].calling.is_some() {
@@ -642,7 +642,7 @@
         }
         // The model reads no journal again: a term whose write had no answer ends here.
         let Some((last, revision)) = self.nodes[i].journal else {
-            return self.nodes[i].election.resign(End::LeaseEnded);
+            return self.nodes[i].election.resign(Cause::LeaseEnded);
         };
         if last != Some(token.era()) {
             let number = self.send(i, Call::Inaugurate { token, revision });
@@ -679,9 +679,9 @@
     }
 }
 
-fn fresh(rules: Rules, now: Time) -> Node {
+fn fresh(timing: Timing, now: Time) -> Node {
     Node {
-        election: Election::new(rules, now, false),
+        election: Election::new(timing, now, false),
         era: 0,
         incarnation: 0,
         alive: true,
--- a/gateway/src/duty.rs
+++ b/gateway/src/duty.rs
@@ -22,7 +22,7 @@
 use laburnumwheel_core::gateway::journal::Journal;
 use laburnumwheel_core::gateway::leader;
 use laburnumwheel_core::gateway::leader::Election;
-use laburnumwheel_core::gateway::leader::Notice;
+use laburnumwheel_core::gateway::leader::Identity;
 use laburnumwheel_core::gateway::leader::Outcome;
 use laburnumwheel_core::gateway::leader::Permit;
 use laburnumwheel_core::gateway::leader::Token;
@@ -46,7 +46,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rules {
     /// Times of the election.
-    pub election: leader::Rules,
+    pub election: leader::Timing,
     /// Windows of usage reports, if they are a duty.
     pub usage: Option<usage::Rules>,
     /// Replicas are to be ordered.
@@ -125,7 +125,7 @@
     election: RefCell<Election>,
     usage: RefCell<Option<usage::Log>>,
     wall: RefCell<Wall>,
-    leader: Cell<Option<Notice>>,
+    leader: Cell<Option<Identity>>,
     count: RefCell<Count>,
     /// Era of the first sound read of the store.
     first_era: Cell<Option<u64>>,
@@ -178,14 +178,14 @@
     }
 
     /// Who leads, as far as this gateway knows.
-    pub fn leader(&self) -> Option<Notice> {
+    pub fn leader(&self) -> Option<Identity> {
         self.leader.get()
     }
 
     /// Takes in who leads.
-    pub fn notice(&self, notice: Notice) {
-        if self.leader.get().is_none_or(|known| known.token < notice.token) {
-            self.leader.set(Some(notice));
+    pub fn observe_leader(&self, leader: Identity) {
+        if self.leader.get().is_none_or(|known| known.token < leader.token) {
+            self.leader.set(Some(leader));
         }
     }
 
@@ -196,7 +196,7 @@
 
     /// Takes in usage batches; returns which of them need not be sent again.
     pub fn merge(&self, from: u32, batches: Vec<Batch>) -> Vec<usage::BatchId> {
-        let token = self.leader.get().map_or(0, |notice| notice.token);
+        let token = self.leader.get().map_or(0, |leader| leader.token);
         let mut log = self.usage.borrow_mut();
         log.as_mut().map(|log| log.merge(from, token, batches)).unwrap_or_default()
     }
--- a/gateway/src/duty/counts.rs
+++ b/gateway/src/duty/counts.rs
@@ -38,11 +38,11 @@
     duties.wall.borrow_mut().refresh(now, own_wall());
     let wall = duties.wall.borrow().at(now);
     let leader = duties.leader.get();
-    let token = leader.map_or(0, |notice| notice.token);
+    let token = leader.map_or(0, |leader| leader.token);
     let (own, leader_address, backup) = {
         let gateway = shared.gateway.borrow();
         let own = directory::short(gateway.name());
-        let leader = leader.map(|notice| notice.gateway).filter(|leader| *leader != own);
+        let leader = leader.map(|leader| leader.gateway).filter(|leader| *leader != own);
         let address = leader.and_then(|leader| gateway.directory().address(leader));
         let backup = gateway.directory().backup(now, gateway.name(), leader);
         let backup = backup.map(|(short, address)| (short, address.to_owned()));
--- a/gateway/src/duty/lead.rs
+++ b/gateway/src/duty/lead.rs
@@ -2,9 +2,9 @@
 
 use laburnumwheel_core::gateway::directory;
 use laburnumwheel_core::gateway::leader;
-use laburnumwheel_core::gateway::leader::Notice;
+use laburnumwheel_core::gateway::leader::Identity;
+use laburnumwheel_core::gateway::leader::Lease;
 use laburnumwheel_core::gateway::leader::Step;
-use laburnumwheel_core::gateway::leader::Victory;
 
 use super::State;
 use super::Stored;
@@ -42,14 +42,14 @@
             Step::Release(lease) => {
                 let result = with_timeout((duties.calls.release)(lease)).await;
                 shared.metrics.store_call("release", result.is_ok());
-                duties.election.borrow_mut().released(clock::now());
+                duties.election.borrow_mut().record_release(clock::now());
             }
         }
     }
 }
 
 fn log_ended(shared: &Shared, duties: &State) {
-    let ended = duties.election.borrow_mut().drain_ended();
+    let ended = duties.election.borrow_mut().take_ended();
     for (token, end) in ended {
         shared.metrics.count("terms_ended_total", format!("cause=\"{end}\""));
         shared.log(Line::new("term_ended").with("token", token).with("cause", end));
@@ -57,15 +57,15 @@
 }
 
 async fn campaign(shared: &Shared, duties: &State, eras: &Eras) {
-    duties.election.borrow_mut().campaigning();
+    duties.election.borrow_mut().start_campaign();
     let sent = clock::now();
-    let acquired = with_timeout((duties.calls.acquire)(duties.rules.election.lease)).await;
+    let acquired = with_timeout((duties.calls.acquire)(duties.rules.election.lease_duration)).await;
     shared.metrics.store_call("acquire", acquired.is_ok());
     let acquired = match acquired {
         Ok(acquired) => acquired,
         Err(e) => {
             shared.log(Line::new("campaign_lost").with("error", e));
-            duties.election.borrow_mut().defeated();
+            duties.election.borrow_mut().fail_campaign();
             return;
         }
     };
@@ -77,25 +77,25 @@
             // The lease lapses by itself: nobody acts under it.
             let error = other.err().map_or_else(|| "rollback".to_owned(), |e| e.to_string());
             shared.log(Line::new("campaign_lost").with("error", error));
-            duties.election.borrow_mut().defeated();
+            duties.election.borrow_mut().fail_campaign();
             return;
         }
     };
-    let victory = Victory {
+    let lease = Lease {
         sent,
-        lease: acquired.lease,
-        granted: acquired.granted,
+        id: acquired.lease,
+        ttl: acquired.granted,
         position: acquired.position,
         last_era: last_era(duties, &stored, acquired.position.era),
     };
     let now = clock::now();
-    if !duties.election.borrow_mut().won(now, &victory) {
+    if !duties.election.borrow_mut().begin_term(now, &lease) {
         shared.log(Line::new("campaign_lost").with("error", "position out of range"));
         return;
     }
     let token = duties.token();
     let gateway = directory::short(shared.gateway.borrow().name());
-    duties.notice(Notice { token, gateway });
+    duties.observe_leader(Identity { token, gateway });
     shared.metrics.count("terms_total", String::new());
     let line = Line::new("term_began").with("token", token).with("lease", acquired.lease);
     shared.log(line.with("position", acquired.position));
@@ -120,8 +120,8 @@
     let (now, era) = (clock::now(), eras.newest().unwrap_or(0));
     let mut election = duties.election.borrow_mut();
     match result {
-        Ok(()) => election.renewed(now, sent, era),
-        Err(Error::NotFound) => election.lose(now, leader::End::LeaseEnded),
-        Err(_) => election.renewal_failed(now),
+        Ok(()) => election.extend_term(now, sent, era),
+        Err(Error::NotFound) => election.end_term(now, leader::Cause::LeaseEnded),
+        Err(_) => election.record_renewal_failure(now),
     }
 }
--- a/gateway/src/duty/term.rs
+++ b/gateway/src/duty/term.rs
@@ -67,7 +67,7 @@
         began: clock::now(),
     };
     while duties.token() == token {
-        if duties.election.borrow().acting(clock::now()).is_some() {
+        if duties.election.borrow().active_token(clock::now()).is_some() {
             term.report_usage().await;
             term.scale().await;
         }
@@ -120,7 +120,7 @@
             self.stored = stored;
             self.is_stale = false;
         }
-        let Some(token) = self.duties.election.borrow().acting(clock::now()) else {
+        let Some(token) = self.duties.election.borrow().active_token(clock::now()) else {
             return false;
         };
         let journal = self.stored.journal.clone().unwrap_or_default();
@@ -150,7 +150,7 @@
                 self.is_stale = true;
                 self.conflicts += 1;
                 if self.conflicts >= MAX_CONFLICTS && result == Err(Error::Refused(412)) {
-                    self.duties.election.borrow_mut().resign(leader::End::LeaseEnded);
+                    self.duties.election.borrow_mut().resign(leader::Cause::LeaseEnded);
                 }
                 false
             }
@@ -170,7 +170,7 @@
             self.leave_out(window, reporters);
             return None;
         }
-        let token = self.duties.election.borrow().acting(clock::now())?;
+        let token = self.duties.election.borrow().active_token(clock::now())?;
         let journal = self.stored.journal.clone()?.with_report(report.clone());
         if !self.write(token, journal).await {
             return None;
--- a/gateway/src/peers.rs
+++ b/gateway/src/peers.rs
@@ -69,7 +69,7 @@
     /// Time of day of the sender's own clock.
     pub wall: WallTime,
     /// Who leads, as far as the sender knows.
-    pub leader: Option<leader::Notice>,
+    pub leader: Option<leader::Identity>,
 }
 
 /// Decodes a datagram; whatever its bytes, it takes no more memory than a few times its length.
@@ -226,8 +226,8 @@
 fn take_trailer(shared: &Shared, from: &str, trailer: Option<Trailer>) {
     if let (Some(duties), Some(trailer)) = (&shared.duties, trailer) {
         duties.observe_wall(clock::now(), directory::short(from), trailer.wall);
-        if let Some(notice) = trailer.leader {
-            duties.notice(notice);
+        if let Some(leader) = trailer.leader {
+            duties.observe_leader(leader);
         }
     }
 }
