--- a/core/src/gateway/autoscaler.rs
+++ b/core/src/gateway/autoscaler.rs
@@ -57,7 +57,7 @@
 
 /// Replicas of a service in one failure domain.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Stock {
+pub struct Capacity {
     /// Ordinary replicas that take work.
     pub ordinary: u32,
     /// Spot instances that take work.
@@ -66,7 +66,7 @@
     pub reclaimed: u32,
 }
 
-impl Stock {
+impl Capacity {
     fn of(&self, kind: Kind) -> u32 {
         match kind {
             Kind::Ordinary => self.ordinary,
@@ -76,7 +76,7 @@
 }
 
 /// Replicas of a service by failure domain.
-pub type Stocks = BTreeMap<String, Stock>;
+pub type Capacities = BTreeMap<String, Capacity>;
 
 /// An order of replicas.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -91,10 +91,10 @@
 
 /// Engines without those of the largest failure domain that has spot instances: what the last leader
 /// held necessary.
-fn sure(stocks: &Stocks) -> u32 {
-    let engines = |stock: &Stock| stock.ordinary + stock.spot;
-    let there: u32 = stocks.values().map(engines).sum();
-    let with_spot = stocks.values().filter(|stock| stock.spot > 0);
+fn sure(capacities: &Capacities) -> u32 {
+    let engines = |capacity: &Capacity| capacity.ordinary + capacity.spot;
+    let there: u32 = capacities.values().map(engines).sum();
+    let with_spot = capacities.values().filter(|capacity| capacity.spot > 0);
     there - with_spot.map(engines).max().unwrap_or(0)
 }
 
@@ -152,10 +152,10 @@
     ///
     /// What is there before any spot instance, or at the first look, counts as a peak: a new leader has
     /// seen no demand yet, and those before it, or the operator, have.
-    pub fn observe(&mut self, now: Time, calls: f64, stocks: &Stocks) {
-        let has_spot = stocks.values().any(|stock| stock.spot > 0);
+    pub fn observe(&mut self, now: Time, calls: f64, capacities: &Capacities) {
+        let has_spot = capacities.values().any(|capacity| capacity.spot > 0);
         if self.peak_at.is_none() || !has_spot {
-            self.peak = self.peak.max(f64::from(sure(stocks)) * self.calls_per_engine());
+            self.peak = self.peak.max(f64::from(sure(capacities)) * self.calls_per_engine());
             self.peak_at = Some(now);
         }
         self.calls = calls;
@@ -177,21 +177,21 @@
     }
 
     /// Orders to place at `now`.
-    pub fn plan(&mut self, now: Time, scaling: &Scaling, stocks: &Stocks) -> Vec<Order> {
-        if stocks.is_empty() || scaling.spot_price.is_none_or(|price| price >= 1.0) {
+    pub fn plan(&mut self, now: Time, scaling: &Scaling, capacities: &Capacities) -> Vec<Order> {
+        if capacities.is_empty() || scaling.spot_price.is_none_or(|price| price >= 1.0) {
             return Vec::new();
         }
         self.need(now);
         self.allow(now);
-        let is_short = self.is_short(stocks);
+        let is_short = self.is_short(capacities);
         let mut orders = Vec::new();
-        for (domain, stock) in stocks {
+        for (domain, capacity) in capacities {
             let is_dry = is_short && self.is_dry(now, domain);
-            let target = self.target(is_dry, scaling, stocks.len() as u32, domain, stock);
+            let target = self.target(is_dry, scaling, capacities.len() as u32, domain, capacity);
             for (kind, desired) in target {
                 let order = Order { domain: domain.clone(), kind, desired };
-                if self.is_due(now, scaling, stock, &order) {
-                    orders.extend(self.limited(now, scaling, stock, order));
+                if self.is_due(now, scaling, capacity, &order) {
+                    orders.extend(self.limited(now, scaling, capacity, order));
                 }
             }
         }
@@ -213,32 +213,33 @@
         scaling: &Scaling,
         domains: u32,
         domain: &str,
-        stock: &Stock,
+        capacity: &Capacity,
     ) -> [(Kind, u32); 2] {
         let share = self.ordinary_share * f64::from(self.needed) / f64::from(domains.max(1));
         let floor = (share.ceil() as u32).clamp(scaling.min, scaling.max);
         // As many as serve the demand without one of the failure domains.
         let others = domains.saturating_sub(1).max(1);
         let spot = self.needed.div_ceil(others).saturating_sub(floor).min(scaling.max - floor);
-        let missing = spot.saturating_sub(stock.spot);
+        let missing = spot.saturating_sub(capacity.spot);
         let is_new = !self.placed.contains_key(&(domain.to_owned(), Kind::Ordinary));
         let unreplaced = self.unreplaced.entry(domain.to_owned()).or_default();
         if is_new {
-            *unreplaced = stock.ordinary.max(*unreplaced);
+            *unreplaced = capacity.ordinary.max(*unreplaced);
         } else if is_dry {
             // Half of the room, so that spot instances find the other half when they are back.
             *unreplaced = missing.min(scaling.max / 2).max(*unreplaced);
-        } else if stock.spot >= *unreplaced {
+        } else if capacity.spot >= *unreplaced {
             *unreplaced = 0;
         }
-        let ordinary = unreplaced.saturating_sub(stock.spot).max(floor);
+        let ordinary = unreplaced.saturating_sub(capacity.spot).max(floor);
         let room = scaling.max.saturating_sub(ordinary);
         [(Kind::Ordinary, ordinary), (Kind::Spot, spot.min(room))]
     }
 
     /// Whether the engines that are there have no room.
-    fn is_short(&self, stocks: &Stocks) -> bool {
-        let there: u32 = stocks.values().map(|stock| stock.ordinary + stock.spot).sum();
+    fn is_short(&self, capacities: &Capacities) -> bool {
+        let there: u32 =
+            capacities.values().map(|capacity| capacity.ordinary + capacity.spot).sum();
         self.calls > CRITICAL_OCCUPANCY * f64::from(self.slots * there)
     }
 
@@ -259,15 +260,15 @@
         &mut self,
         now: Time,
         scaling: &Scaling,
-        stock: &Stock,
+        capacity: &Capacity,
         order: Order,
     ) -> Option<Order> {
-        let there = stock.of(order.kind);
+        let there = capacity.of(order.kind);
         let placed = self.placed.get(&(order.domain.clone(), order.kind));
         let pending = placed.filter(|p| {
             p.outcome == Outcome::Accepted && now.since(p.at) < scaling.boot + BOOT_SLACK
         });
-        let was_reclaimed = pending.is_some_and(|p| stock.reclaimed > p.reclaimed);
+        let was_reclaimed = pending.is_some_and(|p| capacity.reclaimed > p.reclaimed);
         let from = match pending {
             Some(placed) if !was_reclaimed => placed.desired,
             _ => there,
@@ -286,8 +287,8 @@
         Some(Order { desired: limited.max(before), ..order })
     }
 
-    fn is_due(&self, now: Time, scaling: &Scaling, stock: &Stock, order: &Order) -> bool {
-        let there = stock.of(order.kind);
+    fn is_due(&self, now: Time, scaling: &Scaling, capacity: &Capacity, order: &Order) -> bool {
+        let there = capacity.of(order.kind);
         let Some(placed) = self.placed.get(&(order.domain.clone(), order.kind)) else {
             return there != order.desired;
         };
@@ -295,14 +296,14 @@
         if placed.outcome != Outcome::Accepted {
             return age >= RETRY;
         }
-        let was_reclaimed = order.kind == Kind::Spot && stock.reclaimed > placed.reclaimed;
+        let was_reclaimed = order.kind == Kind::Spot && capacity.reclaimed > placed.reclaimed;
         let is_late = there < order.desired && age >= scaling.boot + BOOT_SLACK;
         placed.desired != order.desired || was_reclaimed || is_late
     }
 
     /// Records what came of an order.
-    pub fn placed(&mut self, now: Time, order: &Order, outcome: Outcome, stocks: &Stocks) {
-        let reclaimed = stocks.get(&order.domain).map_or(0, |stock| stock.reclaimed);
+    pub fn record_outcome(&mut self, now: Time, order: &Order, outcome: Outcome, capacities: &Capacities) {
+        let reclaimed = capacities.get(&order.domain).map_or(0, |capacity| capacity.reclaimed);
         let placed = Placed { desired: order.desired, at: now, outcome, reclaimed };
         self.placed.insert((order.domain.clone(), order.kind), placed);
     }
--- a/core/src/gateway/usage.rs
+++ b/core/src/gateway/usage.rs
@@ -201,7 +201,7 @@
     }
 
     /// Records that a gateway has these batches.
-    pub fn acked(&mut self, by: u32, ids: &[BatchId]) {
+    pub fn record_acks(&mut self, by: u32, ids: &[BatchId]) {
         for id in ids {
             if let Some(held) = self.held.get_mut(id) {
                 held.acked.insert(by);
--- a/core/tests/gateway/autoscaler.rs
+++ b/core/tests/gateway/autoscaler.rs
@@ -1,11 +1,11 @@
 //! Orders of engines under bursts, reclaims and refusals, without a network.
 
 use laburnumwheel_core::gateway::autoscaler::Autoscaler;
+use laburnumwheel_core::gateway::autoscaler::Capacities;
+use laburnumwheel_core::gateway::autoscaler::Capacity;
 use laburnumwheel_core::gateway::autoscaler::Kind;
 use laburnumwheel_core::gateway::autoscaler::Order;
 use laburnumwheel_core::gateway::autoscaler::Scaling;
-use laburnumwheel_core::gateway::autoscaler::Stock;
-use laburnumwheel_core::gateway::autoscaler::Stocks;
 use laburnumwheel_core::gateway::leader::Outcome;
 use laburnumwheel_core::time::Span;
 use laburnumwheel_core::time::Time;
@@ -18,34 +18,34 @@
     Scaling { min: 1, max: 60, boot: Span::secs(4), spot_price: Some(0.15) }
 }
 
-fn stock(ordinary: u32, spot: u32) -> Stock {
-    Stock { ordinary, spot, reclaimed: 0 }
+fn capacity(ordinary: u32, spot: u32) -> Capacity {
+    Capacity { ordinary, spot, reclaimed: 0 }
 }
 
-fn stocks(all: &[(&str, Stock)]) -> Stocks {
-    all.iter().map(|(domain, stock)| ((*domain).to_owned(), stock.clone())).collect()
+fn capacities(all: &[(&str, Capacity)]) -> Capacities {
+    all.iter().map(|(domain, capacity)| ((*domain).to_owned(), capacity.clone())).collect()
 }
 
-fn even(ordinary: u32, spot: u32) -> Stocks {
-    let stock = stock(ordinary, spot);
-    stocks(&[("a", stock.clone()), ("b", stock.clone()), ("c", stock)])
+fn even(ordinary: u32, spot: u32) -> Capacities {
+    let capacity = capacity(ordinary, spot);
+    capacities(&[("a", capacity.clone()), ("b", capacity.clone()), ("c", capacity)])
 }
 
 /// Three failure domains whose replicas boot and leave as ordered, a second a step.
 struct World {
     autoscaler: Autoscaler,
     now: Time,
-    stocks: Stocks,
+    capacities: Capacities,
     booting: Vec<(Time, Order)>,
     orders: usize,
     unavailable: Vec<String>,
 }
 
 impl World {
-    fn new(stocks: Stocks) -> World {
+    fn new(capacities: Capacities) -> World {
         let autoscaler = Autoscaler::new(SLOTS, ORDINARY_SHARE);
         let (booting, unavailable) = (Vec::new(), Vec::new());
-        World { autoscaler, now: START, stocks, booting, orders: 0, unavailable }
+        World { autoscaler, now: START, capacities, booting, orders: 0, unavailable }
     }
 
     fn step(&mut self, calls: f64) {
@@ -53,10 +53,10 @@
         let now = self.now;
         let arrived = self.booting.extract_if(.., |(at, _)| *at <= now);
         for (_, order) in arrived.collect::<Vec<_>>() {
-            self.stocks.get_mut(&order.domain).unwrap().spot = order.desired;
+            self.capacities.get_mut(&order.domain).unwrap().spot = order.desired;
         }
-        self.autoscaler.observe(now, calls, &self.stocks);
-        for order in self.autoscaler.plan(now, &scaling(), &self.stocks) {
+        self.autoscaler.observe(now, calls, &self.capacities);
+        for order in self.autoscaler.plan(now, &scaling(), &self.capacities) {
             self.place(&order);
         }
     }
@@ -65,12 +65,12 @@
         self.orders += 1;
         let refused = order.kind == Kind::Spot && self.unavailable.contains(&order.domain);
         let outcome = if refused { Outcome::Refused } else { Outcome::Accepted };
-        self.autoscaler.placed(self.now, order, outcome, &self.stocks);
-        let stock = self.stocks.get_mut(&order.domain).unwrap();
+        self.autoscaler.record_outcome(self.now, order, outcome, &self.capacities);
+        let capacity = self.capacities.get_mut(&order.domain).unwrap();
         match order.kind {
-            Kind::Ordinary => stock.ordinary = order.desired,
+            Kind::Ordinary => capacity.ordinary = order.desired,
             Kind::Spot if refused => {}
-            Kind::Spot if order.desired <= stock.spot => stock.spot = order.desired,
+            Kind::Spot if order.desired <= capacity.spot => capacity.spot = order.desired,
             Kind::Spot => self.booting.push((self.now + scaling().boot, order.clone())),
         }
     }
@@ -80,16 +80,16 @@
     }
 
     fn reclaim(&mut self, domain: &str) {
-        let stock = self.stocks.get_mut(domain).unwrap();
-        stock.reclaimed = std::mem::take(&mut stock.spot);
+        let capacity = self.capacities.get_mut(domain).unwrap();
+        capacity.reclaimed = std::mem::take(&mut capacity.spot);
     }
 
     fn engines(&self) -> u32 {
-        self.stocks.values().map(|stock| stock.ordinary + stock.spot).sum()
+        self.capacities.values().map(|capacity| capacity.ordinary + capacity.spot).sum()
     }
 
     fn ordinary(&self) -> u32 {
-        self.stocks.values().map(|stock| stock.ordinary).sum()
+        self.capacities.values().map(|capacity| capacity.ordinary).sum()
     }
 }
 
@@ -161,12 +161,12 @@
     world.unavailable.push("b".to_owned());
     world.reclaim("b");
     world.run(8, 400.0);
-    assert_eq!(world.stocks["b"].spot, 0);
+    assert_eq!(world.capacities["b"].spot, 0);
 
     world.unavailable.clear();
     world.run(8, 400.0);
 
-    assert!(world.stocks["b"].spot > 0);
+    assert!(world.capacities["b"].spot > 0);
 }
 
 /// A world of 400 calls that loses the spot instances of two failure domains, with none to be had.
@@ -190,7 +190,7 @@
 
     assert!(900.0 <= 0.7 * f64::from(SLOTS * during), "{during}");
     assert!(ordinary >= 30, "{ordinary}");
-    assert_eq!(world.stocks["a"].ordinary, world.stocks["c"].ordinary);
+    assert_eq!(world.capacities["a"].ordinary, world.capacities["c"].ordinary);
 }
 
 #[test]
@@ -207,7 +207,7 @@
 fn replicas_that_register_late_count_as_well() {
     let mut world = World::new(even(10, 0));
     world.step(0.0);
-    world.stocks = even(30, 0);
+    world.capacities = even(30, 0);
 
     world.run(20, 0.0);
 
@@ -232,11 +232,11 @@
 fn entries_that_are_missing_after_an_outage_take_no_order_back() {
     let mut world = World::new(even(30, 0));
     world.run(30, 900.0);
-    let before = world.stocks.clone();
-    world.stocks.values_mut().for_each(|stock| stock.spot = 1);
+    let before = world.capacities.clone();
+    world.capacities.values_mut().for_each(|capacity| capacity.spot = 1);
 
     let now = world.now + Span::secs(20);
-    let orders = world.autoscaler.plan(now, &scaling(), &world.stocks);
+    let orders = world.autoscaler.plan(now, &scaling(), &world.capacities);
 
     let spot = orders.iter().filter(|order| order.kind == Kind::Spot);
     assert!(spot.clone().count() > 0);
@@ -246,21 +246,21 @@
 #[test]
 fn a_fleet_of_thousands_is_not_replaced_at_once() {
     let scaling = Scaling { max: 2_000, ..scaling() };
-    let mut stocks = even(1_000, 0);
+    let mut capacities = even(1_000, 0);
     let mut autoscaler = Autoscaler::new(SLOTS, ORDINARY_SHARE);
     let mut most = 0;
 
     for second in 0..60 {
         let now = START + Span::secs(second);
-        autoscaler.observe(now, 0.0, &stocks);
-        let orders = autoscaler.plan(now, &scaling, &stocks);
+        autoscaler.observe(now, 0.0, &capacities);
+        let orders = autoscaler.plan(now, &scaling, &capacities);
         let mut changes = 0;
         for order in orders {
-            autoscaler.placed(now, &order, Outcome::Accepted, &stocks);
-            let stock = stocks.get_mut(&order.domain).unwrap();
+            autoscaler.record_outcome(now, &order, Outcome::Accepted, &capacities);
+            let capacity = capacities.get_mut(&order.domain).unwrap();
             let there = match order.kind {
-                Kind::Ordinary => &mut stock.ordinary,
-                Kind::Spot => &mut stock.spot,
+                Kind::Ordinary => &mut capacity.ordinary,
+                Kind::Spot => &mut capacity.spot,
             };
             changes += there.abs_diff(order.desired);
             *there = order.desired;
@@ -269,7 +269,7 @@
     }
 
     assert!(most <= 60, "{most}");
-    assert!(stocks["a"].spot > 500, "{stocks:?}");
+    assert!(capacities["a"].spot > 500, "{capacities:?}");
 }
 
 #[test]
@@ -301,7 +301,8 @@
 
     for _ in 0..40 {
         world.step(9_000.0);
-        let most = world.stocks.values().map(|stock| stock.ordinary + stock.spot).max();
+        let most =
+            world.capacities.values().map(|capacity| capacity.ordinary + capacity.spot).max();
         assert!(most <= Some(60));
     }
 }
--- a/core/tests/gateway/usage.rs
+++ b/core/tests/gateway/usage.rs
@@ -53,7 +53,7 @@
     let again = gateway.for_leader(9, 1);
     let ids: Vec<_> = again.iter().map(|batch| batch.id).collect();
 
-    gateway.acked(9, &ids);
+    gateway.record_acks(9, &ids);
 
     assert_eq!(first, again);
     assert!(gateway.for_leader(9, 1).is_empty());
@@ -130,7 +130,7 @@
     {
         assert!(encoded(&batches) < 8_000);
         let acks = leader.merge(1, 1, batches);
-        gateway.acked(9, &acks);
+        gateway.record_acks(9, &acks);
     }
 
     assert_eq!(leader.report(WINDOW).counts.len(), 18_000);
--- a/gateway/src/duty.rs
+++ b/gateway/src/duty.rs
@@ -1,7 +1,7 @@
 //! Duties that one gateway of the fleet carries out for all: who leads, and what the leader does.
 
-mod counts;
-mod lead;
+mod delivery;
+mod election;
 mod orders;
 mod term;
 
@@ -15,9 +15,9 @@
 use std::time::SystemTime;
 use std::time::UNIX_EPOCH;
 
+use laburnumwheel_core::gateway::autoscaler::Capacities;
 use laburnumwheel_core::gateway::autoscaler::Order;
 use laburnumwheel_core::gateway::autoscaler::Scaling;
-use laburnumwheel_core::gateway::autoscaler::Stocks;
 use laburnumwheel_core::gateway::directory;
 use laburnumwheel_core::gateway::journal::Journal;
 use laburnumwheel_core::gateway::leader;
@@ -36,39 +36,39 @@
 use laburnumwheel_core::time::Time;
 use tokio::sync::Notify;
 
-pub use self::counts::exchange;
-pub use self::lead::lead;
+pub use self::delivery::deliver_usage;
+pub use self::election::run_election;
 use crate::clock;
 use crate::shared::Shared;
 use crate::store::Reply;
 
 /// What a deployment asks for.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Rules {
+pub struct Options {
     /// Times of the election.
     pub election: leader::Timing,
     /// Windows of usage reports, if they are a duty.
     pub usage: Option<usage::Rules>,
     /// Replicas are to be ordered.
-    pub scale: bool,
+    pub autoscale: bool,
     /// The whole system starts for the first time, so nobody has led before.
     pub is_first_start: bool,
 }
 
 /// The leader's record was written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Acquired {
+pub struct Acquisition {
     /// Its lease.
     pub lease: u64,
     /// Life of the lease.
-    pub granted: Span,
+    pub ttl: Span,
     /// Position of the write.
     pub position: Position,
 }
 
 /// The journal as the store holds it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Stored {
+pub struct Entry {
     /// What leaders have left; `None` if it does not exist or can't be read.
     pub journal: Option<Journal>,
     /// Revision of its last change; 0 if it does not exist.
@@ -88,13 +88,13 @@
 
 /// Replicas as a read of the store found them.
 #[derive(Clone, Debug, Default)]
-pub struct Count {
+pub struct Inventory {
     /// When the read began.
     pub at: Time,
     /// Bounds and prices, by service.
     pub scaling: Arc<BTreeMap<String, Scaling>>,
     /// Replicas, by service and failure domain.
-    pub stocks: BTreeMap<String, Stocks>,
+    pub capacities: BTreeMap<String, Capacities>,
 }
 
 /// A call of a duty in progress; an error if it got no answer.
@@ -103,13 +103,13 @@
 /// Calls of the store and of the platform, as one platform makes them.
 pub struct Calls {
     /// Writes the leader's record under a new lease of this length, if there is none.
-    pub acquire: Box<dyn Fn(Span) -> Reply<Acquired>>,
+    pub acquire: Box<dyn Fn(Span) -> Reply<Acquisition>>,
     /// Renews the lease.
     pub renew: Box<dyn Fn(u64) -> Reply<()>>,
     /// Ends the lease, and the record with it.
     pub release: Box<dyn Fn(u64) -> Reply<()>>,
     /// Reads the journal.
-    pub read: Box<dyn Fn() -> Reply<Stored>>,
+    pub read: Box<dyn Fn() -> Reply<Entry>>,
     /// Writes the journal; returns its revision.
     pub write: Box<dyn Fn(Write) -> Reply<u64>>,
     /// Sends a usage report.
@@ -120,37 +120,37 @@
 
 /// State of the duties.
 pub struct State {
-    rules: Rules,
+    options: Options,
     calls: Calls,
     election: RefCell<Election>,
     usage: RefCell<Option<usage::Log>>,
     wall: RefCell<Wall>,
     leader: Cell<Option<Identity>>,
-    count: RefCell<Count>,
+    inventory: RefCell<Inventory>,
     /// Era of the first sound read of the store.
     first_era: Cell<Option<u64>>,
     woken: Notify,
 }
 
 /// Time of day by the host's own clock.
-pub fn own_wall() -> WallTime {
+pub fn system_time() -> WallTime {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros() as u64)
 }
 
 impl State {
     /// The duties of the gateway `name`.
-    pub fn new(rules: Rules, calls: Calls, name: &str, incarnation: u64) -> State {
+    pub fn new(options: Options, calls: Calls, name: &str, incarnation: u64) -> State {
         let now = clock::now();
         let gateway = directory::short(name);
-        let log = rules.usage.map(|rules| usage::Log::new(rules, gateway, incarnation));
+        let log = options.usage.map(|rules| usage::Log::new(rules, gateway, incarnation));
         State {
-            rules,
+            options,
             calls,
-            election: RefCell::new(Election::new(rules.election, now, rules.is_first_start)),
+            election: RefCell::new(Election::new(options.election, now, options.is_first_start)),
             usage: RefCell::new(log),
-            wall: RefCell::new(Wall::new(now, own_wall())),
+            wall: RefCell::new(Wall::new(now, system_time())),
             leader: Cell::new(None),
-            count: RefCell::default(),
+            inventory: RefCell::default(),
             first_era: Cell::new(None),
             woken: Notify::new(),
         }
@@ -173,8 +173,8 @@
     }
 
     /// Takes in the replicas that a read of the store found.
-    pub fn count_stocks(&self, count: Count) {
-        self.count.replace(count);
+    pub fn set_inventory(&self, inventory: Inventory) {
+        self.inventory.replace(inventory);
     }
 
     /// Who leads, as far as this gateway knows.
@@ -202,9 +202,9 @@
     }
 
     /// Takes in that a gateway holds these batches.
-    pub fn acked(&self, by: u32, ids: &[usage::BatchId]) {
+    pub fn record_acks(&self, by: u32, ids: &[usage::BatchId]) {
         if let Some(log) = self.usage.borrow_mut().as_mut() {
-            log.acked(by, ids);
+            log.record_acks(by, ids);
         }
     }
 
@@ -223,8 +223,8 @@
 }
 
 /// Hands the last counts of a process over that is about to end.
-pub async fn finish(shared: &Shared) {
+pub async fn flush_usage(shared: &Shared) {
     if let Some(duties) = &shared.duties {
-        counts::hand_over(shared, duties).await;
+        delivery::deliver(shared, duties).await;
     }
 }
--- a/gateway/src/duty/counts.rs
+++ b/gateway/src/duty/delivery.rs
@@ -6,7 +6,7 @@
 use laburnumwheel_core::gateway::directory;
 
 use super::State;
-use super::own_wall;
+use super::system_time;
 use crate::clock;
 use crate::peers;
 use crate::peers::Message;
@@ -18,24 +18,24 @@
 const EXCHANGE_EACH: Duration = Duration::from_millis(2);
 
 /// Hands what was counted to the leader and to a backup, for ever.
-pub async fn exchange(shared: Shared) {
+pub async fn deliver_usage(shared: Shared) {
     let Some(duties) = &shared.duties else {
         return;
     };
-    if duties.rules.usage.is_none() {
+    if duties.options.usage.is_none() {
         return;
     }
     loop {
         let gateways = shared.gateway.borrow().sharers() as u32;
         tokio::time::sleep(EXCHANGE.max(EXCHANGE_EACH * gateways)).await;
-        hand_over(&shared, duties).await;
+        deliver(&shared, duties).await;
     }
 }
 
 /// Sends batches that the leader or the backup have not acknowledged.
-pub(super) async fn hand_over(shared: &Shared, duties: &State) {
+pub(super) async fn deliver(shared: &Shared, duties: &State) {
     let now = clock::now();
-    duties.wall.borrow_mut().refresh(now, own_wall());
+    duties.wall.borrow_mut().refresh(now, system_time());
     let wall = duties.wall.borrow().at(now);
     let leader = duties.leader.get();
     let token = leader.map_or(0, |leader| leader.token);
--- a/gateway/src/duty/lead.rs
+++ b/gateway/src/duty/election.rs
@@ -6,8 +6,8 @@
 use laburnumwheel_core::gateway::leader::Lease;
 use laburnumwheel_core::gateway::leader::Step;
 
+use super::Entry;
 use super::State;
-use super::Stored;
 use super::term;
 use crate::clock;
 use crate::era::Eras;
@@ -17,7 +17,7 @@
 use crate::store::with_timeout;
 
 /// Campaigns, renews and resigns, for ever.
-pub async fn lead(shared: Shared, eras: Eras) {
+pub async fn run_election(shared: Shared, eras: Eras) {
     let Some(duties) = &shared.duties else {
         return;
     };
@@ -59,7 +59,7 @@
 async fn campaign(shared: &Shared, duties: &State, eras: &Eras) {
     duties.election.borrow_mut().start_campaign();
     let sent = clock::now();
-    let acquired = with_timeout((duties.calls.acquire)(duties.rules.election.lease_duration)).await;
+    let acquired = with_timeout((duties.calls.acquire)(duties.options.election.lease_duration)).await;
     shared.metrics.store_call("acquire", acquired.is_ok());
     let acquired = match acquired {
         Ok(acquired) => acquired,
@@ -84,7 +84,7 @@
     let lease = Lease {
         sent,
         id: acquired.lease,
-        ttl: acquired.granted,
+        ttl: acquired.ttl,
         position: acquired.position,
         last_era: last_era(duties, &stored, acquired.position.era),
     };
@@ -104,11 +104,11 @@
 
 /// Era of the last term; at the first start of the whole system there was none, so that nobody is
 /// waited for.
-fn last_era(duties: &State, stored: &Stored, era: u64) -> Option<u64> {
+fn last_era(duties: &State, stored: &Entry, era: u64) -> Option<u64> {
     match &stored.journal {
         Some(journal) => Some(journal.era),
         // A store that has come back since may have lost the journal.
-        None if duties.rules.is_first_start && duties.first_era.get() == Some(era) => Some(era),
+        None if duties.options.is_first_start && duties.first_era.get() == Some(era) => Some(era),
         None => None,
     }
 }
--- a/gateway/src/duty/orders.rs
+++ b/gateway/src/duty/orders.rs
@@ -1,9 +1,9 @@
 //! Orders of replicas by the leader.
 
 use laburnumwheel_core::gateway::autoscaler::Autoscaler;
+use laburnumwheel_core::gateway::autoscaler::Capacities;
 use laburnumwheel_core::gateway::autoscaler::Order;
 use laburnumwheel_core::gateway::autoscaler::Scaling;
-use laburnumwheel_core::gateway::autoscaler::Stocks;
 use laburnumwheel_core::gateway::leader::Outcome;
 use laburnumwheel_core::time::Span;
 
@@ -14,7 +14,7 @@
 /// Time from one look at the demand for replicas to the next.
 const SCALING: Span = Span::millis(500);
 /// Age beyond which a count of the replicas is not gone by.
-const COUNT_VALID: Span = Span::millis(2_000);
+const MAX_INVENTORY_AGE: Span = Span::millis(2_000);
 /// Time after an outage of the store until the entries of all live replicas are back.
 const ENTRIES_BACK: Span = Span::secs(3);
 /// Share of the engines that stay if all spot instances are reclaimed.
@@ -24,31 +24,33 @@
     /// Orders the replicas that the demand asks for.
     pub(super) async fn scale(&mut self) {
         let now = clock::now();
-        if !self.duties.rules.scale || now.since(self.scaled_at) < SCALING {
+        if !self.duties.options.autoscale || now.since(self.scaled_at) < SCALING {
             return;
         }
         self.scaled_at = now;
-        let count = self.duties.count.borrow().clone();
-        let is_new = now.since(self.began) < ENTRIES_BACK && !self.duties.rules.is_first_start;
-        if is_new || now.since(count.at) > COUNT_VALID {
+        let inventory = self.duties.inventory.borrow().clone();
+        let is_new = now.since(self.began) < ENTRIES_BACK && !self.duties.options.is_first_start;
+        if is_new || now.since(inventory.at) > MAX_INVENTORY_AGE {
             return;
         }
-        for (service, scaling) in count.scaling.iter() {
-            if let Some(stocks) = count.stocks.get(service).filter(|s| self.is_complete(service, s))
+        for (service, scaling) in inventory.scaling.iter() {
+            if let Some(capacities) =
+                inventory.capacities.get(service).filter(|s| self.is_complete(service, s))
             {
-                self.scale_service(service, scaling, stocks).await;
+                self.scale_service(service, scaling, capacities).await;
             }
         }
     }
 
     /// Whether the read lacks none of the replicas in use. After an outage of the store entries are missing
     /// although their replicas live, and the fleet would shrink to what is left.
-    fn is_complete(&self, service: &str, stocks: &Stocks) -> bool {
-        let counted: u32 = stocks.values().map(|stock| stock.ordinary + stock.spot).sum();
+    fn is_complete(&self, service: &str, capacities: &Capacities) -> bool {
+        let counted: u32 =
+            capacities.values().map(|capacity| capacity.ordinary + capacity.spot).sum();
         self.shared.gateway.borrow().registered(service) <= counted as usize
     }
 
-    async fn scale_service(&mut self, service: &str, scaling: &Scaling, stocks: &Stocks) {
+    async fn scale_service(&mut self, service: &str, scaling: &Scaling, capacities: &Capacities) {
         let now = clock::now();
         let (calls, slots) = {
             let gateway = self.shared.gateway.borrow();
@@ -59,17 +61,23 @@
         };
         let autoscaler = self.autoscalers.entry(service.to_owned());
         let autoscaler = autoscaler.or_insert_with(|| Autoscaler::new(slots, ORDINARY_SHARE));
-        autoscaler.observe(now, calls, stocks);
-        let orders = autoscaler.plan(now, scaling, stocks);
+        autoscaler.observe(now, calls, capacities);
+        let orders = autoscaler.plan(now, scaling, capacities);
         for order in orders {
-            if !self.order(service, order, calls, stocks).await {
+            if !self.order(service, order, calls, capacities).await {
                 return;
             }
         }
     }
 
     /// Places an order; `false` if no more calls can be made now.
-    async fn order(&mut self, service: &str, order: Order, calls: f64, stocks: &Stocks) -> bool {
+    async fn order(
+        &mut self,
+        service: &str,
+        order: Order,
+        calls: f64,
+        capacities: &Capacities,
+    ) -> bool {
         let now = clock::now();
         let era = self.eras.newest().unwrap_or(0);
         let permit = self.duties.election.borrow_mut().begin_call(now, era);
@@ -83,7 +91,7 @@
         self.duties.woken.notify_one();
         let labels = format!("kind=\"{}\",outcome=\"{outcome}\"", order.kind);
         self.shared.metrics.count("orders_total", labels);
-        let stock = stocks.get(&order.domain).cloned().unwrap_or_default();
+        let capacity = capacities.get(&order.domain).cloned().unwrap_or_default();
         let line = Line::new("replicas_ordered")
             .with("service", service)
             .with("domain", &order.domain)
@@ -91,15 +99,15 @@
             .with("desired", order.desired)
             .with("outcome", outcome)
             .with("token", permit.token)
-            .with("ordinary", stock.ordinary)
-            .with("spot", stock.spot)
-            .with("reclaimed", stock.reclaimed)
+            .with("ordinary", capacity.ordinary)
+            .with("spot", capacity.spot)
+            .with("reclaimed", capacity.reclaimed)
             .with("calls", calls.round());
         let autoscaler = self.autoscalers.get_mut(service);
         let needed = autoscaler.as_ref().map_or(0, |autoscaler| autoscaler.needed());
         self.shared.log(line.with("needed", needed));
         if let Some(autoscaler) = autoscaler {
-            autoscaler.placed(ended, &order, outcome, stocks);
+            autoscaler.record_outcome(ended, &order, outcome, capacities);
         }
         outcome != Outcome::Unanswered
     }
--- a/gateway/src/duty/term.rs
+++ b/gateway/src/duty/term.rs
@@ -13,8 +13,8 @@
 use laburnumwheel_core::gateway::wall::WallTime;
 use laburnumwheel_core::time::Time;
 
+use super::Entry;
 use super::State;
-use super::Stored;
 use super::Write;
 use crate::clock;
 use crate::era::Eras;
@@ -34,7 +34,7 @@
     pub(super) duties: &'a State,
     pub(super) eras: &'a Eras,
     pub(super) token: u64,
-    pub(super) stored: Stored,
+    pub(super) stored: Entry,
     /// The journal in the store may differ from the known one.
     pub(super) is_stale: bool,
     pub(super) conflicts: u32,
@@ -46,7 +46,7 @@
 }
 
 /// Carries the duties out until the term ends.
-pub(super) async fn work(shared: Shared, eras: Eras, token: u64, stored: Stored) {
+pub(super) async fn work(shared: Shared, eras: Eras, token: u64, stored: Entry) {
     let Some(duties) = &shared.duties else {
         return;
     };
@@ -142,7 +142,7 @@
         self.shared.metrics.store_call("journal", result.is_ok());
         match result {
             Ok(revision) if self.eras.newest().unwrap_or(0) == token.era() => {
-                self.stored = Stored { journal: Some(journal), revision };
+                self.stored = Entry { journal: Some(journal), revision };
                 self.conflicts = 0;
                 true
             }
--- a/gateway/src/gateway.rs
+++ b/gateway/src/gateway.rs
@@ -65,7 +65,7 @@
     callers: SocketAddr,
     heartbeats: SocketAddr,
     listeners: Vec<Listener>,
-    duties: Option<(duty::Rules, duty::Calls)>,
+    duties: Option<(duty::Options, duty::Calls)>,
     grace: Duration,
     learn_time: Duration,
 }
@@ -99,8 +99,8 @@
     }
 
     /// With duties that one gateway carries out for all.
-    pub fn duties(mut self, rules: duty::Rules, calls: duty::Calls) -> Builder {
-        self.duties = Some((rules, calls));
+    pub fn duties(mut self, options: duty::Options, calls: duty::Calls) -> Builder {
+        self.duties = Some((options, calls));
         self
     }
 
@@ -134,9 +134,9 @@
             others.push((opened, listener.handler));
         }
         let entry = self.settings.entry.clone();
-        let duties = self
-            .duties
-            .map(|(rules, calls)| duty::State::new(rules, calls, &entry.name, entry.incarnation));
+        let duties = self.duties.map(|(options, calls)| {
+            duty::State::new(options, calls, &entry.name, entry.incarnation)
+        });
         let shared = Shared::new(State {
             lines: Log::new(&entry.name),
             dialect: self.dialect,
@@ -176,8 +176,8 @@
         spawn(Box::pin(peers::hear(shared.clone())));
         spawn(Box::pin(peers::report(shared.clone())));
         spawn(Box::pin(peers::notify_owners(shared.clone())));
-        spawn(Box::pin(duty::lead(shared.clone(), eras)));
-        spawn(Box::pin(duty::exchange(shared.clone())));
+        spawn(Box::pin(duty::run_election(shared.clone(), eras)));
+        spawn(Box::pin(duty::deliver_usage(shared.clone())));
         spawn(Box::pin(server::serve(shared.clone(), callers, call::serve)));
         for (listener, handler) in others {
             spawn(Box::pin(serve_plain(shared.clone(), listener, handler)));
@@ -265,7 +265,7 @@
                 break;
             }
         }
-        duty::finish(&shared).await;
+        duty::flush_usage(&shared).await;
         let line = Line::new("stopped")
             .with("calls", shared.calls.get())
             .with("connections", shared.connections.get())
--- a/gateway/src/peers.rs
+++ b/gateway/src/peers.rs
@@ -219,7 +219,7 @@
     let Some(duties) = &shared.duties else {
         return Some(bytes);
     };
-    let trailer = Trailer { wall: duty::own_wall(), leader: duties.leader() };
+    let trailer = Trailer { wall: duty::system_time(), leader: duties.leader() };
     postcard::to_extend(&trailer, bytes).ok()
 }
 
@@ -319,7 +319,7 @@
             }
             Message::UsageAck(holder, ids) => {
                 if let Some(duties) = &shared.duties {
-                    duties.acked(holder, &ids);
+                    duties.record_acks(holder, &ids);
                 }
             }
         }
--- a/gateway/src/quarantine.rs
+++ b/gateway/src/quarantine.rs
@@ -41,7 +41,7 @@
 
 /// The records as the store holds them.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Stored {
+pub struct Entry {
     /// Its last change; 0 before the first.
     pub revision: u64,
     /// The records.
@@ -80,7 +80,7 @@
 }
 
 /// Merges the stored records.
-pub fn recall(shared: &Shared, stored: &Stored) {
+pub fn recall(shared: &Shared, stored: &Entry) {
     let records = aged(&stored.records, unix_ms());
     shared.gateway.borrow_mut().recall(clock::now(), &records);
 }
@@ -88,7 +88,7 @@
 /// Stores the records if the stored ones are out of date. A conflicting write shows in the next read.
 pub async fn keep(
     shared: &Shared,
-    stored: &Stored,
+    stored: &Entry,
     write: &mut Box<dyn FnMut(Vec<Record>, u64) -> Reply<()>>,
 ) {
     let now_ms = unix_ms();
--- a/gateway/src/store.rs
+++ b/gateway/src/store.rs
@@ -11,8 +11,8 @@
 use http_body_util::BodyExt;
 use http_body_util::Limited;
 use hyper::body::Incoming;
+use laburnumwheel_core::gateway::autoscaler::Capacities;
 use laburnumwheel_core::gateway::autoscaler::Scaling;
-use laburnumwheel_core::gateway::autoscaler::Stocks;
 use laburnumwheel_core::gateway::directory::Entry;
 use laburnumwheel_core::gateway::view::Known;
 use laburnumwheel_core::rendezvous;
@@ -32,7 +32,6 @@
 use crate::log::Line;
 use crate::peers;
 use crate::quarantine;
-use crate::quarantine::Stored;
 use crate::shared::Shared;
 use crate::view;
 
@@ -78,13 +77,13 @@
     /// Everything that could be used.
     pub view: View,
     /// Stored records of the quarantine.
-    pub fingerprints: Stored,
+    pub fingerprints: quarantine::Entry,
     /// Revision of the leader's record, if there is one.
     pub leader: Option<u64>,
     /// Bounds and prices of the replicas that may be ordered, by service.
     pub scaling: Arc<BTreeMap<String, Scaling>>,
     /// Replicas, by service and failure domain.
-    pub stocks: BTreeMap<String, Stocks>,
+    pub capacities: BTreeMap<String, Capacities>,
     /// Malformed entries. Only readers of the store log them; they are not passed on to peers.
     pub flaws: Vec<Flaw>,
 }
@@ -322,12 +321,12 @@
 }
 
 /// Takes in what a read of the store found; returns what it holds of fingerprints.
-fn take_reading(shared: &Shared, sent: Time, mut reading: Reading) -> Stored {
+fn take_reading(shared: &Shared, sent: Time, mut reading: Reading) -> quarantine::Entry {
     if let Some(duties) = &shared.duties {
         duties.observe(sent, reading.leader);
         let scaling = Arc::clone(&reading.scaling);
-        let stocks = std::mem::take(&mut reading.stocks);
-        duties.count_stocks(duty::Count { at: sent, scaling, stocks });
+        let capacities = std::mem::take(&mut reading.capacities);
+        duties.set_inventory(duty::Inventory { at: sent, scaling, capacities });
     }
     // First of all, so that a gateway which has just started knows them when it serves.
     quarantine::recall(shared, &reading.fingerprints);
