--- a/core/src/gateway/autoscaler.rs
+++ b/core/src/gateway/autoscaler.rs
@@ -302,7 +302,13 @@
     }
 
     /// Records what came of an order.
-    pub fn record_outcome(&mut self, now: Time, order: &Order, outcome: Outcome, capacities: &Capacities) {
+    pub fn record_outcome(
+        &mut self,
+        now: Time,
+        order: &Order,
+        outcome: Outcome,
+        capacities: &Capacities,
+    ) {
         let reclaimed = capacities.get(&order.domain).map_or(0, |capacity| capacity.reclaimed);
         let placed = Placed { desired: order.desired, at: now, outcome, reclaimed };
         self.placed.insert((order.domain.clone(), order.kind), placed);
--- a/core/src/gateway/quarantine.rs
+++ b/core/src/gateway/quarantine.rs
@@ -1,7 +1,7 @@
 //! Quarantine of requests that repeatedly crash the replica serving them.
 //!
 //! Gateways record which replica was running a request when its connection broke, by the request's
-//! fingerprint, and gossip these records. A fingerprint with [`CRASHES`] crashes and no answer is
+//! fingerprint, and gossip these records. A fingerprint with [`CRASH_THRESHOLD`] crashes and no answer is
 //! quarantined. Requests that merely ran beside the cause are cleared by an answer elsewhere, by a sign of
 //! life of the replica, or because the cause already explains their crashes. Records only grow, except
 //! where an answer clears them, so gateways agree whatever order they merge them in.
@@ -20,7 +20,7 @@
 
 /// Crashes before a fingerprint is quarantined. Bystanders see one or two in a row, as a stream that is
 /// resumed after the first crash may meet the next one.
-pub const CRASHES: usize = 3;
+pub const CRASH_THRESHOLD: usize = 3;
 /// Length of the first quarantine; doubles with each further crash.
 const HOLD: Span = Span::secs(600);
 /// Crashes shared with a quarantined fingerprint from which on that one is taken as their cause.
@@ -35,11 +35,11 @@
 pub const MAX_FINGERPRINTS: usize = 4_096;
 /// A sign of life this long after the connection broke shows that the replica has not crashed. What it
 /// sent before may be read, and gossiped, up to then.
-pub const SETTLED: Span = Span::secs(1);
+pub const LIVENESS_DELAY: Span = Span::secs(1);
 /// Time for which heartbeats carry a change; long enough to reach every gateway.
 const SHARED_FOR: Span = Span::secs(3);
 /// Upper bound on records in one heartbeat.
-pub const MAX_SHARED_RECORDS: usize = 32;
+pub const MAX_GOSSIP_RECORDS: usize = 32;
 
 /// A replica that crashed while it ran a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -63,7 +63,7 @@
 
 /// A fingerprint whose verdict has changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Verdict {
+pub struct Transition {
     /// The fingerprint.
     pub fingerprint: Fingerprint,
     /// It is quarantined from now on, or no longer.
@@ -98,13 +98,13 @@
 
     /// Whether it has enough crashes for a quarantine.
     fn is_strong(&self) -> bool {
-        self.counted().count() >= CRASHES
+        self.counted().count() >= CRASH_THRESHOLD
     }
 
     /// Adds a crash; `true` if it is new. Of several times for one crash the earliest is right, because
     /// gossip lags.
     fn add_crash(&mut self, at: Time, replica: Digest) -> bool {
-        if self.answered.is_some_and(|answered| at <= answered + SETTLED) {
+        if self.answered.is_some_and(|answered| at <= answered + LIVENESS_DELAY) {
             return false;
         }
         if let Some(mark) = self.crashes.get_mut(&replica) {
@@ -121,11 +121,11 @@
 
     /// Adds a complete answer; `true` if it is new.
     fn add_answer(&mut self, at: Time) -> bool {
-        if self.answered.is_some_and(|known| at <= known + SETTLED) {
+        if self.answered.is_some_and(|known| at <= known + LIVENESS_DELAY) {
             return false;
         }
         self.answered = Some(at);
-        self.crashes.retain(|_, mark| mark.at > at + SETTLED);
+        self.crashes.retain(|_, mark| mark.at > at + LIVENESS_DELAY);
         true
     }
 
@@ -159,7 +159,7 @@
         if suspect.add_crash(now, replica) {
             suspect.changed = now;
             if suspect.is_strong() {
-                self.judge();
+                self.recompute();
             }
         }
     }
@@ -173,7 +173,7 @@
         if suspect.add_answer(now) {
             suspect.changed = now;
             if was_strong {
-                self.judge();
+                self.recompute();
             }
         }
     }
@@ -198,30 +198,31 @@
             }
         }
         if is_new {
-            self.judge();
+            self.recompute();
         }
     }
 
     /// Recent changes to gossip, the most crashes first.
-    pub fn digest(&self, now: Time) -> Vec<Record> {
+    pub fn gossip(&self, now: Time) -> Vec<Record> {
         let young = self.suspects.iter().filter(|(_, s)| now.since(s.changed) < SHARED_FOR);
         let mut young: Vec<(&Fingerprint, &Suspect)> = young.collect();
         young.sort_by_key(|(_, s)| (Reverse(s.crashes.len()), Reverse(s.changed)));
-        young.truncate(MAX_SHARED_RECORDS);
+        young.truncate(MAX_GOSSIP_RECORDS);
         young.into_iter().map(|(fingerprint, suspect)| suspect.record(now, *fingerprint)).collect()
     }
 
     /// Records that must outlast this process: those with enough crashes for a quarantine.
-    pub fn persistent(&self, now: Time) -> Vec<Record> {
+    pub fn durable_records(&self, now: Time) -> Vec<Record> {
         let persistent = self.suspects.iter().filter(|(_, s)| s.is_strong());
         persistent.map(|(fingerprint, suspect)| suspect.record(now, *fingerprint)).collect()
     }
 
     /// Whether a record is obsolete: answered since, or too old.
-    pub fn is_over(&self, now: Time, record: &Record) -> bool {
+    pub fn is_obsolete(&self, now: Time, record: &Record) -> bool {
         let answered = self.suspects.get(&record.fingerprint).and_then(|s| s.answered);
         let counts = |age: Span| {
-            age <= LONG_MEMORY && answered.is_none_or(|answered| now - age > answered + SETTLED)
+            age <= LONG_MEMORY
+                && answered.is_none_or(|answered| now - age > answered + LIVENESS_DELAY)
         };
         !record.crashes.iter().any(|end| counts(Span::millis(end.age_ms)))
     }
@@ -233,30 +234,30 @@
     }
 
     /// Number of tracked fingerprints.
-    pub fn tracked(&self) -> usize {
+    pub fn tracked_count(&self) -> usize {
         self.suspects.len()
     }
 
     /// Number of quarantined fingerprints.
-    pub fn quarantined(&self, now: Time) -> usize {
+    pub fn quarantined_count(&self, now: Time) -> usize {
         self.quarantined.values().filter(|until| now < **until).count()
     }
 
     /// Reevaluates all fingerprints; `is_alive` says whether a replica gave a sign of life after a time.
     /// Returns the verdicts that changed since the last call.
-    pub fn reconsider(
+    pub fn reevaluate(
         &mut self,
         now: Time,
         is_alive: impl Fn(Digest, Time) -> bool,
-    ) -> Vec<Verdict> {
+    ) -> Vec<Transition> {
         for suspect in self.suspects.values_mut() {
             for (replica, mark) in &mut suspect.crashes {
-                mark.alive = mark.alive || is_alive(*replica, mark.at + SETTLED);
+                mark.alive = mark.alive || is_alive(*replica, mark.at + LIVENESS_DELAY);
             }
         }
         self.suspects.retain(|_, suspect| !suspect.is_forgotten(now));
         self.bound();
-        self.judge();
+        self.recompute();
         self.changes(now)
     }
 
@@ -277,17 +278,17 @@
 
     /// Recomputes the quarantine. The fingerprint with the most crashes, of equals the earliest, is taken
     /// as their cause; they do not count against others that share [`SHARED`] of them.
-    fn judge(&mut self) {
+    fn recompute(&mut self) {
         self.quarantined.clear();
         let mut strong = Vec::new();
         for (fingerprint, suspect) in &self.suspects {
             let mut crashes: Vec<(Time, Digest)> =
                 suspect.counted().map(|(r, at)| (at, r)).collect();
-            if crashes.len() >= CRASHES {
+            if crashes.len() >= CRASH_THRESHOLD {
                 crashes.sort_unstable();
                 strong.push((
                     Reverse(crashes.len()),
-                    crashes[CRASHES - 1].0,
+                    crashes[CRASH_THRESHOLD - 1].0,
                     *fingerprint,
                     crashes,
                 ));
@@ -304,21 +305,23 @@
             let own = crashes.iter().filter(|(_, replica)| !explained.contains(replica));
             let own: Vec<Time> = own.map(|(at, _)| *at).collect();
             if let Some(last) = own.last()
-                && own.len() >= CRASHES
+                && own.len() >= CRASH_THRESHOLD
             {
-                let hold = Span(HOLD.0 << (own.len() - CRASHES).min(MAX_CRASHES - CRASHES));
+                let hold = Span(
+                    HOLD.0 << (own.len() - CRASH_THRESHOLD).min(MAX_CRASHES - CRASH_THRESHOLD),
+                );
                 self.quarantined.insert(fingerprint, *last + hold);
                 causes.push(replicas);
             }
         }
     }
 
-    fn changes(&mut self, now: Time) -> Vec<Verdict> {
+    fn changes(&mut self, now: Time) -> Vec<Transition> {
         let quarantined = self.quarantined.iter().filter(|(_, until)| now < **until);
         let quarantined: BTreeSet<Fingerprint> =
             quarantined.map(|(fingerprint, _)| *fingerprint).collect();
         let changed = quarantined.symmetric_difference(&self.reported);
-        let verdicts = changed.map(|fingerprint| Verdict {
+        let verdicts = changed.map(|fingerprint| Transition {
             fingerprint: *fingerprint,
             quarantined: quarantined.contains(fingerprint),
             crashes: self.suspects.get(fingerprint).map_or(0, |s| s.counted().count()),
--- a/core/src/gateway/state.rs
+++ b/core/src/gateway/state.rs
@@ -251,7 +251,7 @@
             loads: self.fleet.gossip(now),
             paces: self.gossip_paces(),
             plans: self.plans.gossip(now),
-            suspects: self.quarantine.digest(now),
+            suspects: self.quarantine.gossip(now),
             version: self.version(),
             proof_age: self.freshness.age(now).map(|s| s.0),
         }
--- a/core/src/gateway/state/poison.rs
+++ b/core/src/gateway/state/poison.rs
@@ -7,7 +7,7 @@
 use crate::gateway::fingerprint::Fingerprint;
 use crate::gateway::fleet::Claim;
 use crate::gateway::quarantine::Record;
-use crate::gateway::quarantine::Verdict;
+use crate::gateway::quarantine::Transition;
 use crate::gateway::refusal::Reason;
 use crate::gateway::refusal::Refusal;
 use crate::time::Time;
@@ -41,14 +41,14 @@
     }
 
     /// Reevaluates the quarantine; returns the verdicts that changed since the last call.
-    pub fn reconsider(&mut self, now: Time) -> Vec<Verdict> {
+    pub fn reconsider(&mut self, now: Time) -> Vec<Transition> {
         let fleet = &self.fleet;
-        self.quarantine.reconsider(now, |replica, at| fleet.active_since(replica, at))
+        self.quarantine.reevaluate(now, |replica, at| fleet.active_since(replica, at))
     }
 
     /// Number of quarantined fingerprints.
     pub fn fingerprints_quarantined(&self, now: Time) -> usize {
-        self.quarantine.quarantined(now)
+        self.quarantine.quarantined_count(now)
     }
 
     /// Merges the records that the store holds.
@@ -61,10 +61,10 @@
     /// A stored record stays until it is obsolete, whatever this gateway makes of it; gateways that saw
     /// different things would otherwise overwrite each other in turn.
     pub fn to_keep(&self, now: Time, stored: &[Record]) -> Option<Vec<Record>> {
-        let persistent = stored.iter().filter(|record| !self.quarantine.is_over(now, record));
+        let persistent = stored.iter().filter(|record| !self.quarantine.is_obsolete(now, record));
         let mut all: BTreeMap<Fingerprint, Record> =
             persistent.map(|r| (r.fingerprint, r.clone())).collect();
-        for own in self.quarantine.persistent(now) {
+        for own in self.quarantine.durable_records(now) {
             if all.get(&own.fingerprint).is_none_or(|known| known.crashes.len() < own.crashes.len())
             {
                 all.insert(own.fingerprint, own);
--- a/core/tests/gateway/quarantine.rs
+++ b/core/tests/gateway/quarantine.rs
@@ -10,14 +10,14 @@
 use laburnumwheel_core::gateway::fleet::Claim;
 use laburnumwheel_core::gateway::fleet::Load;
 use laburnumwheel_core::gateway::fleet::Outcome;
-use laburnumwheel_core::gateway::quarantine::CRASHES;
+use laburnumwheel_core::gateway::quarantine::CRASH_THRESHOLD;
 use laburnumwheel_core::gateway::quarantine::Crash;
+use laburnumwheel_core::gateway::quarantine::LIVENESS_DELAY;
 use laburnumwheel_core::gateway::quarantine::MAX_FINGERPRINTS;
-use laburnumwheel_core::gateway::quarantine::MAX_SHARED_RECORDS;
+use laburnumwheel_core::gateway::quarantine::MAX_GOSSIP_RECORDS;
 use laburnumwheel_core::gateway::quarantine::Quarantine;
 use laburnumwheel_core::gateway::quarantine::Record;
-use laburnumwheel_core::gateway::quarantine::SETTLED;
-use laburnumwheel_core::gateway::quarantine::Verdict;
+use laburnumwheel_core::gateway::quarantine::Transition;
 use laburnumwheel_core::gateway::refusal::Reason;
 use laburnumwheel_core::incarnation::Digest;
 use laburnumwheel_core::time::Span;
@@ -76,7 +76,7 @@
 #[test]
 fn a_whole_answer_clears_a_content_and_what_others_still_tell_of_it() {
     let mut quarantine = after_ends(HARMLESS, &[1, 2, 3]);
-    let told = quarantine.digest(at(3));
+    let told = quarantine.gossip(at(3));
 
     quarantine.record_answer(at(4), HARMLESS);
     quarantine.merge(at(5), &told);
@@ -89,13 +89,13 @@
 #[test]
 fn a_replica_that_is_heard_of_later_has_not_ended() {
     let mut quarantine = after_ends(HARMLESS, &[1, 2, 3]);
-    let told = quarantine.digest(at(3));
+    let told = quarantine.gossip(at(3));
 
-    quarantine.reconsider(at(4), |replica, _| replica == Digest(2));
+    quarantine.reevaluate(at(4), |replica, _| replica == Digest(2));
     quarantine.merge(at(5), &told);
 
     assert_eq!(quarantine.remaining(at(5), HARMLESS), None);
-    assert!(quarantine.digest(at(5)).iter().all(|record| record.crashes.len() == 2));
+    assert!(quarantine.gossip(at(5)).iter().all(|record| record.crashes.len() == 2));
 }
 
 /// A long answer was at each of the engines that a draft ended, as it is sent on after each end.
@@ -144,7 +144,7 @@
 fn fewer_ends_are_forgotten_after_ten_minutes() {
     let mut quarantine = after_ends(DEADLY, &[1, 2]);
 
-    quarantine.reconsider(at(700), nobody);
+    quarantine.reevaluate(at(700), nobody);
     quarantine.record_crash(at(701), DEADLY, Digest(3));
 
     assert_eq!(quarantine.remaining(at(701), DEADLY), None);
@@ -154,12 +154,12 @@
 fn a_verdict_is_told_once() {
     let mut quarantine = after_ends(DEADLY, &[1, 2, 3]);
 
-    let first = quarantine.reconsider(at(3), nobody);
-    let second = quarantine.reconsider(at(4), nobody);
+    let first = quarantine.reevaluate(at(3), nobody);
+    let second = quarantine.reevaluate(at(4), nobody);
     quarantine.record_answer(at(5), DEADLY);
-    let third = quarantine.reconsider(at(5), nobody);
+    let third = quarantine.reevaluate(at(5), nobody);
 
-    let told = |verdicts: &[Verdict]| {
+    let told = |verdicts: &[Transition]| {
         verdicts.iter().map(|v| (v.fingerprint, v.quarantined)).collect::<Vec<_>>()
     };
     assert_eq!(told(&first), [(DEADLY, true)]);
@@ -175,12 +175,12 @@
     for fingerprint in 10..20_000 {
         quarantine.record_crash(at(3), Fingerprint(fingerprint), Digest(7));
     }
-    quarantine.reconsider(at(3), nobody);
+    quarantine.reevaluate(at(3), nobody);
 
-    let told = quarantine.digest(at(4));
+    let told = quarantine.gossip(at(4));
 
-    assert_eq!(quarantine.tracked(), MAX_FINGERPRINTS);
-    assert_eq!(told.len(), MAX_SHARED_RECORDS);
+    assert_eq!(quarantine.tracked_count(), MAX_FINGERPRINTS);
+    assert_eq!(told.len(), MAX_GOSSIP_RECORDS);
     assert_eq!(told[0].fingerprint, DEADLY);
     assert!(quarantine.remaining(at(4), DEADLY).is_some());
 }
@@ -218,14 +218,14 @@
 fn time_until_all_hold(count: usize, seed: u64) -> (Span, usize) {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut gateways = vec![Quarantine::default(); count];
-    for (place, replica) in (0..CRASHES).map(|i| (i * count / CRASHES, i as u32)) {
+    for (place, replica) in (0..CRASH_THRESHOLD).map(|i| (i * count / CRASH_THRESHOLD, i as u32)) {
         gateways[place].record_crash(START, DEADLY, Digest(replica));
     }
     let (mut now, mut largest) = (START, 0);
     while now.since(START) < Span(2 * WINDOW.0) {
         now = now + HEARTBEAT;
         for from in 0..count {
-            let told = gateways[from].digest(now);
+            let told = gateways[from].gossip(now);
             largest = largest.max(postcard::to_stdvec(&told).unwrap().len());
             for _ in 0..FANOUT {
                 let to = rng.random_range(0..count);
@@ -317,7 +317,7 @@
     grant.fingerprint = Some(DEADLY);
     let refusal = gateway.pick(at(20), &call, &mut grant, &[]).unwrap_err();
 
-    assert_eq!(engines.len(), CRASHES);
+    assert_eq!(engines.len(), CRASH_THRESHOLD);
     assert_eq!((refusal.reason, refusal.not_run), (Reason::Quarantined, true));
     assert!(refusal.retry_after > Span(0) && refusal.retry_after <= HOLD);
     assert!(sent(&mut gateway, at(20), &call, HARMLESS).is_some());
@@ -329,7 +329,7 @@
     let mut gateway = gateway(12);
     let call = ask("draft", &[(1, 500)]);
     let mut claims = Vec::new();
-    while claims.len() < CRASHES {
+    while claims.len() < CRASH_THRESHOLD {
         let (grant, claim) = sent(&mut gateway, START, &call, HARMLESS).unwrap();
         gateway.broke(START, &grant, &claim);
         gateway.unsent(START, &mut grant.clone(), claim.replica, Outcome::Unreachable);
@@ -337,7 +337,7 @@
     }
     let before = gateway.fingerprints_quarantined(START);
 
-    let later = START + SETTLED + Span::millis(1);
+    let later = START + LIVENESS_DELAY + Span::millis(1);
     for claim in &claims {
         gateway.record_activity(later, claim, Some(Load { running: 1, waiting: 0, slots: 16 }));
     }
--- a/gateway/src/peers.rs
+++ b/gateway/src/peers.rs
@@ -237,8 +237,8 @@
     loop {
         let period = shared.gateway.borrow().reporting_period();
         tokio::time::sleep(clock::duration(period)).await;
-        let verdicts = shared.gateway.borrow_mut().reconsider(clock::now());
-        quarantine::log(&shared, &verdicts);
+        let transitions = shared.gateway.borrow_mut().reconsider(clock::now());
+        quarantine::log_transitions(&shared, &transitions);
         let report = shared.gateway.borrow_mut().report(clock::now());
         if let Some((decider, report)) = report
             && let Ok(address) = decider.parse::<SocketAddr>()
--- a/gateway/src/quarantine.rs
+++ b/gateway/src/quarantine.rs
@@ -8,7 +8,7 @@
 
 use laburnumwheel_core::gateway::fingerprint::Fingerprint;
 use laburnumwheel_core::gateway::quarantine;
-use laburnumwheel_core::gateway::quarantine::Verdict;
+use laburnumwheel_core::gateway::quarantine::Transition;
 use laburnumwheel_core::incarnation::Digest;
 use serde::Deserialize;
 use serde::Serialize;
@@ -80,13 +80,13 @@
 }
 
 /// Merges the stored records.
-pub fn recall(shared: &Shared, stored: &Entry) {
+pub fn restore(shared: &Shared, stored: &Entry) {
     let records = aged(&stored.records, unix_ms());
     shared.gateway.borrow_mut().recall(clock::now(), &records);
 }
 
 /// Stores the records if the stored ones are out of date. A conflicting write shows in the next read.
-pub async fn keep(
+pub async fn persist(
     shared: &Shared,
     stored: &Entry,
     write: &mut Box<dyn FnMut(Vec<Record>, u64) -> Reply<()>>,
@@ -105,12 +105,12 @@
     });
 }
 
-/// Logs verdicts that have changed.
-pub fn log(shared: &Shared, verdicts: &[Verdict]) {
-    for verdict in verdicts {
+/// Logs transitions that have changed.
+pub fn log_transitions(shared: &Shared, transitions: &[Transition]) {
+    for transition in transitions {
         let event =
-            if verdict.quarantined { "fingerprint_quarantined" } else { "fingerprint_released" };
-        let line = Line::new(event).with("fingerprint", verdict.fingerprint);
-        shared.log(line.with("crashes", verdict.crashes));
+            if transition.quarantined { "fingerprint_quarantined" } else { "fingerprint_released" };
+        let line = Line::new(event).with("fingerprint", transition.fingerprint);
+        shared.log(line.with("crashes", transition.crashes));
     }
 }
--- a/gateway/src/store.rs
+++ b/gateway/src/store.rs
@@ -213,7 +213,7 @@
                 let stored = take_reading(&shared, sent, reading);
                 // The readers write for all: a few, so that a fleet does not write the same at once.
                 if is_reader {
-                    quarantine::keep(&shared, &stored, &mut follower.write_quarantine).await;
+                    quarantine::persist(&shared, &stored, &mut follower.write_quarantine).await;
                 }
                 let waits = shared.gateway.borrow().version() == 0;
                 let pause = if waits { WAITING } else { PERIOD };
@@ -329,7 +329,7 @@
         duties.set_inventory(duty::Inventory { at: sent, scaling, capacities });
     }
     // First of all, so that a gateway which has just started knows them when it serves.
-    quarantine::recall(shared, &reading.fingerprints);
+    quarantine::restore(shared, &reading.fingerprints);
     reading.view.replicas = shared.gateway.borrow().amend(sent, reading.view.replicas);
     // A version that can't be read may be the one that takes a key away. The last one that could
     // be read stays in force, and its proof of freshness ages as if the store were out of reach:
