--- a/gateway/src/duty/election.rs
+++ b/gateway/src/duty/election.rs
@@ -59,7 +59,8 @@
 async fn campaign(shared: &Shared, duties: &State, eras: &Eras) {
     duties.election.borrow_mut().start_campaign();
     let sent = clock::now();
-    let acquired = with_timeout((duties.calls.acquire)(duties.options.election.lease_duration)).await;
+    let acquired =
+        with_timeout((duties.calls.acquire)(duties.options.election.lease_duration)).await;
     shared.metrics.store_call("acquire", acquired.is_ok());
     let acquired = match acquired {
         Ok(acquired) => acquired,
