--- a/core/src/gateway/fleet/choice.rs
+++ b/core/src/gateway/fleet/choice.rs
@@ -63,7 +63,7 @@
     /// The call is a stream that long prompts would disturb.
     pub sensitive: bool,
     /// Engines of the isolated pool.
-    pub lane: usize,
+    pub pool_size: usize,
     /// Epoch of the plan that says so; 0 without one.
     pub epoch: u32,
     /// No call of the service ranks below it, so it waits behind all others in an engine.
@@ -100,7 +100,7 @@
     /// The replica keeps the shared head of the prompt.
     pub home: bool,
     /// Engines of the isolated pool.
-    pub lane: usize,
+    pub pool_size: usize,
     /// Epoch of the plan that says so; 0 if this gateway knows of none and goes by what it saw.
     pub epoch: u32,
     /// The load is from the owner's snapshot.
@@ -152,7 +152,7 @@
         let candidates = self.candidates(now, need, tried, side);
         let engine = need.engine.map(|u| match side {
             Side::Own => u,
-            Side::Other => Use { lane: 0, ..u },
+            Side::Other => Use { pool_size: 0, ..u },
         });
         let scored = self.score(now, &Need { engine, ..*need }, domain, &candidates);
         scored.into_iter().min_by(|a, b| a.0.total_cmp(&b.0))
@@ -248,7 +248,7 @@
                 waiting: replica.waiting(now),
                 report_age: replica.report.map(|r| now.since(r.at)),
                 home: homes[0] == *key,
-                lane: need.engine.map_or(0, |u| u.lane),
+                pool_size: need.engine.map_or(0, |u| u.pool_size),
                 epoch: need.engine.map_or(0, |u| u.epoch),
                 kept: snapshot.is_some(),
                 service,
@@ -274,13 +274,13 @@
     u: &Use,
     side: Side,
 ) -> Vec<(Key<Replica>, &'a Replica)> {
-    if u.lane == 0 || u.lane >= usable.len() {
+    if u.pool_size == 0 || u.pool_size >= usable.len() {
         return usable;
     }
     // Which engines are listed all gateways know alike; which of them one could not reach a moment
     // ago is its own affair, and must not move the bounds of the lane.
     let mut hashes: Vec<u64> = open.iter().map(|(_, r)| r.hash).collect();
-    let (_, last, _) = hashes.select_nth_unstable(u.lane - 1);
+    let (_, last, _) = hashes.select_nth_unstable(u.pool_size - 1);
     let in_lane = |r: &Replica| r.hash <= *last;
     let wanted = u.sensitive == (side == Side::Own);
     let there: Vec<_> = usable.iter().filter(|(_, r)| in_lane(r) == wanted).copied().collect();
@@ -299,7 +299,7 @@
 /// Whether a call may be sent to the other side of the lane's end where its own has no room. Calls that
 /// rank last are the long prompts that the lane is kept from.
 fn may_cross(need: &Need<'_>) -> bool {
-    need.engine.is_some_and(|u| !u.last && u.lane > 0)
+    need.engine.is_some_and(|u| !u.last && u.pool_size > 0)
 }
 
 /// Whether a call is well off on its own side.
@@ -397,7 +397,7 @@
 fn kept_ms(u: &Use, reading_ms: f64, snapshot: &Snapshot) -> f64 {
     let ahead = if u.last { 1.0 } else { AHEAD_OF_URGENT };
     // Most calls in the lane are as urgent as this one, which passes none of them.
-    let among_equals = u.sensitive && u.lane > 0;
+    let among_equals = u.sensitive && u.pool_size > 0;
     let behind = if among_equals { 1.0 } else { ahead };
     let over = (f64::from(snapshot.calls) + 1.0 - f64::from(u.slots)).max(0.0);
     let place = over * f64::from(snapshot.interval_ms);
--- a/core/src/gateway/model.rs
+++ b/core/src/gateway/model.rs
@@ -5,8 +5,8 @@
 use super::config::Engine;
 use super::config::Route;
 use super::gaps::Gaps;
-use super::lane::Lane;
 use super::pace::Pace;
+use super::pool::Pool;
 use crate::time::Span;
 
 /// Engines of one service as they were observed.
@@ -17,7 +17,7 @@
     /// Gaps between events outside the lane.
     pub(super) gaps: Gaps,
     /// Isolated pool.
-    pub(super) lane: Lane,
+    pub(super) pool: Pool,
     /// Streams by the pause that they may have.
     streams: BTreeMap<Span, Streams>,
 }
@@ -63,10 +63,10 @@
     }
 
     /// Counts a further event of a stream that may pause for `pause`, after `gap`. What happens
-    /// `apart` from long prompts says nothing about how it is beside them.
-    pub(super) fn goes_on(&mut self, pause: Span, gap: Span, apart: bool) {
+    /// `isolated` from long prompts says nothing about how it is beside them.
+    pub(super) fn goes_on(&mut self, pause: Span, gap: Span, isolated: bool) {
         self.streams.entry(pause).or_default().events += 1.0;
-        if !apart {
+        if !isolated {
             self.gaps.note(gap);
         }
     }
--- a/core/src/gateway/plan.rs
+++ b/core/src/gateway/plan.rs
@@ -13,8 +13,8 @@
 
 use super::config::Engine;
 use super::gaps::Gaps;
-use super::lane;
-use super::lane::Lane;
+use super::pool;
+use super::pool::Pool;
 use super::tally::Report;
 use super::tally::Sums;
 use crate::time::Span;
@@ -47,17 +47,17 @@
     /// Short hash of the decider's name, which decides between two of the same epoch.
     pub by: u32,
     /// Size of the isolated pool, from the first engine in the order of their hashes.
-    pub lane: u16,
+    pub pool_size: u16,
     /// Pauses of the streams that go there, in milliseconds.
-    pub apart: Vec<u32>,
+    pub isolated_pauses_ms: Vec<u32>,
     /// Age of the decision in milliseconds; at most a minute.
     pub age_ms: u16,
 }
 
 impl Plan {
     /// Whether streams that may pause for `pause` go to the isolated pool.
-    pub fn keeps_apart(&self, pause: Span) -> bool {
-        self.apart.iter().any(|ms| u64::from(*ms) == pause.as_millis())
+    pub fn isolates(&self, pause: Span) -> bool {
+        self.isolated_pauses_ms.iter().any(|ms| u64::from(*ms) == pause.as_millis())
     }
 
     fn order(&self) -> (u32, u32) {
@@ -91,7 +91,7 @@
 
     /// Takes a plan in if it is a later one. One that nobody can have decided is passed over.
     pub fn receive(&mut self, now: Time, plan: &Plan) -> Option<Comparison> {
-        if plan.apart.len() > MOST_KINDS {
+        if plan.isolated_pauses_ms.len() > MOST_KINDS {
             return None;
         }
         let known = self.plans.get(&plan.service);
@@ -134,7 +134,7 @@
 struct Service {
     kinds: BTreeMap<u32, Kind>,
     gaps: Gaps,
-    lane: Lane,
+    pool: Pool,
     /// Streams in progress by gateway and pause, and when they were reported.
     open: BTreeMap<u32, (Time, BTreeMap<u32, u16>)>,
 }
@@ -203,15 +203,17 @@
         }
         let Subject { service, engine, engines, known } = *subject;
         let heard = self.services.get_mut(&service)?;
-        let apart = heard.apart(engine, known);
-        let streams = heard.streams(now, &apart);
-        let size = heard.lane.size(now, streams, engine, engines);
-        let lane = steady(reach(size), engines, known).min(usize::from(u16::MAX)) as u16;
-        if known.is_some_and(|known| known.lane == lane && known.apart == apart) {
+        let isolated_pauses_ms = heard.isolated_pauses_ms(engine, known);
+        let streams = heard.streams(now, &isolated_pauses_ms);
+        let size = heard.pool.size(now, streams, engine, engines);
+        let pool_size = steady(reach(size), engines, known).min(usize::from(u16::MAX)) as u16;
+        if known.is_some_and(|known| {
+            known.pool_size == pool_size && known.isolated_pauses_ms == isolated_pauses_ms
+        }) {
             return None;
         }
         let epoch = known.map_or(0, |known| known.epoch).saturating_add(1);
-        Some(Plan { service, epoch, by, lane, apart, age_ms: 0 })
+        Some(Plan { service, epoch, by, pool_size, isolated_pauses_ms, age_ms: 0 })
     }
 
     /// Lets what was seen before fade; to be called every now and then.
@@ -222,13 +224,13 @@
     }
 }
 
-/// The size to publish where `lane` engines are needed: the known one as long as that has them and
+/// The size to publish where `needed` engines are needed: the known one as long as that has them and
 /// not a whole step more. Otherwise an engine that rests for a moment would move the lane's end.
-fn steady(lane: usize, engines: usize, known: Option<&Plan>) -> usize {
-    let known = known.map_or(0, |known| usize::from(known.lane));
-    let spare = lane::step(engines);
-    let suffices = lane > 0 && (lane..lane + spare).contains(&known);
-    if suffices { known } else { lane }
+fn steady(needed: usize, engines: usize, known: Option<&Plan>) -> usize {
+    let known = known.map_or(0, |known| usize::from(known.pool_size));
+    let spare = pool::step(engines);
+    let suffices = needed > 0 && (needed..needed + spare).contains(&known);
+    if suffices { known } else { needed }
 }
 
 impl Service {
@@ -246,7 +248,7 @@
         for (class, count) in &sums.gaps {
             self.gaps.add(*class, f64::from(*count));
         }
-        self.lane.add(sums.reading_ms.into(), sums.life_ms.into(), sums.all_reading_ms.into());
+        self.pool.add(sums.reading_ms.into(), sums.life_ms.into(), sums.all_reading_ms.into());
         let open = sums.streams.iter().take(MOST_KINDS).map(|s| (s.pause_ms, s.open)).collect();
         self.open.insert(gateway, (now, open));
     }
@@ -258,27 +260,29 @@
             kind.events *= keeps;
         }
         self.gaps.fade(keeps);
-        self.lane.fade_to(keeps);
+        self.pool.fade_to(keeps);
         self.open.retain(|_, (at, _)| now.since(*at) < REPORT_VALID);
     }
 
     /// Pauses of the streams that come late beside long prompts, in milliseconds.
-    fn apart(&mut self, engine: &Engine, known: Option<&Plan>) -> Vec<u32> {
-        let mut apart = Vec::new();
+    fn isolated_pauses_ms(&mut self, engine: &Engine, known: Option<&Plan>) -> Vec<u32> {
+        let mut isolated = Vec::new();
         for (pause_ms, kind) in &mut self.kinds {
             let pause = Span::millis(u64::from(*pause_ms));
-            let was = kind.late || known.is_some_and(|known| known.keeps_apart(pause));
+            let was = kind.late || known.is_some_and(|known| known.isolates(pause));
             kind.late = self.gaps.are_late(pause, kind.events / kind.begun, engine.stride, was);
             if kind.late {
-                apart.push(*pause_ms);
+                isolated.push(*pause_ms);
             }
         }
-        apart
+        isolated
     }
 
-    fn streams(&self, now: Time, apart: &[u32]) -> u32 {
+    fn streams(&self, now: Time, isolated_pauses_ms: &[u32]) -> u32 {
         let told = self.open.values().filter(|(at, _)| now.since(*at) < REPORT_VALID);
         let open = told.flat_map(|(_, open)| open.iter());
-        open.filter(|(pause, _)| apart.contains(pause)).map(|(_, n)| u32::from(*n)).sum()
+        open.filter(|(pause, _)| isolated_pauses_ms.contains(pause))
+            .map(|(_, n)| u32::from(*n))
+            .sum()
     }
 }
--- a/core/src/gateway/lane.rs
+++ b/core/src/gateway/pool.rs
@@ -38,7 +38,7 @@
 
 /// Number of engines in the lane.
 #[derive(Debug, Default)]
-pub struct Lane {
+pub struct Pool {
     size: usize,
     needed: Time,
     /// Milliseconds that ended streams took to read, and lasted in all; the older count less.
@@ -48,7 +48,7 @@
     all_reading_ms: f64,
 }
 
-impl Lane {
+impl Pool {
     /// Notes a stream that ended: its prompt took `reading_ms`, and it lasted for `life`.
     pub fn note(&mut self, reading_ms: f64, life: Span) {
         self.fade();
--- a/core/src/gateway/state.rs
+++ b/core/src/gateway/state.rs
@@ -423,7 +423,7 @@
         Use {
             slots: engine.slots,
             sensitive,
-            lane,
+            pool_size: lane,
             epoch,
             last,
             common: self.common.tokens(now, &ask.parts, engines, gateways),
--- a/core/src/gateway/state/attempts.rs
+++ b/core/src/gateway/state/attempts.rs
@@ -37,12 +37,12 @@
             return true;
         }
         let gap = now.since(std::mem::replace(&mut claim.event, now));
-        let apart = claim.sensitive && claim.lane > 0;
+        let isolated = claim.sensitive && claim.pool_size > 0;
         let usual = self.fleet.service_of_usual(claim.replica).map(str::to_owned);
         if let Some(service) = usual {
-            model(&mut self.models, &service).goes_on(claim.pause, gap, apart);
+            model(&mut self.models, &service).goes_on(claim.pause, gap, isolated);
             if let Some(tally) = self.tally(claim) {
-                tally.goes_on(claim.pause, (!apart).then_some(gap));
+                tally.goes_on(claim.pause, (!isolated).then_some(gap));
             }
         }
         false
@@ -77,10 +77,10 @@
             && claim.work > 0.0
             && let Some(replica) = self.fleet.get(claim.replica)
         {
-            let lane = &mut model(&mut self.models, &replica.listing.service).lane;
+            let pool = &mut model(&mut self.models, &replica.listing.service).pool;
             match claim.sensitive {
-                true => lane.note(claim.reading_ms, now.since(claim.sent)),
-                false => lane.note_other(claim.reading_ms),
+                true => pool.note(claim.reading_ms, now.since(claim.sent)),
+                false => pool.note_other(claim.reading_ms),
             }
         }
         self.fleet.done(now, claim, outcome);
--- a/core/src/gateway/state/plans.rs
+++ b/core/src/gateway/state/plans.rs
@@ -110,12 +110,12 @@
         engines: usize,
     ) -> (bool, usize) {
         if let Some(plan) = self.plans.get(directory::short(&grant.service)) {
-            let sensitive = grant.route.streams && plan.keeps_apart(grant.route.pause);
-            return (sensitive, usize::from(plan.lane));
+            let sensitive = grant.route.streams && plan.isolates(grant.route.pause);
+            return (sensitive, usize::from(plan.pool_size));
         }
         let streams = self.directory.sensitive(now) + self.fleet.sensitive();
         let model = super::model(&mut self.models, &grant.service);
         let sensitive = model.is_sensitive(&grant.route, engine);
-        (sensitive, model.lane.size(now, streams, engine, engines))
+        (sensitive, model.pool.size(now, streams, engine, engines))
     }
 }
--- a/core/tests/gateway/agreement.rs
+++ b/core/tests/gateway/agreement.rs
@@ -219,8 +219,8 @@
             return (0.0, 0);
         };
         let same = plans.iter().filter(|p| p.is_some_and(|p| p.epoch == newest.epoch)).count();
-        let lanes = plans.iter().map(|p| p.map_or(0, |p| usize::from(p.lane)));
-        let most = lanes.map(|lane| lane.abs_diff(usize::from(newest.lane))).max();
+        let lanes = plans.iter().map(|p| p.map_or(0, |p| usize::from(p.pool_size)));
+        let most = lanes.map(|lane| lane.abs_diff(usize::from(newest.pool_size))).max();
         (1.0 - same as f64 / plans.len() as f64, most.unwrap_or(0))
     }
 
@@ -245,7 +245,7 @@
 
     fn lane(&self) -> usize {
         let plans = self.plans();
-        plans.into_iter().flatten().max_by_key(|p| p.epoch).map_or(0, |p| p.lane.into())
+        plans.into_iter().flatten().max_by_key(|p| p.epoch).map_or(0, |p| p.pool_size.into())
     }
 }
 
--- a/core/tests/gateway/plan.rs
+++ b/core/tests/gateway/plan.rs
@@ -54,7 +54,7 @@
 }
 
 fn plan(epoch: u32, by: u32) -> Plan {
-    Plan { service: SERVICE, epoch, by, lane: 20, apart: vec![150], age_ms: 0 }
+    Plan { service: SERVICE, epoch, by, pool_size: 20, isolated_pauses_ms: vec![150], age_ms: 0 }
 }
 
 /// Each of 200 gateways has one chat: none of them would set an engine apart, together they need a
@@ -67,8 +67,8 @@
     let plan = decide(&mut planner, START + SETTLED, None).unwrap();
 
     assert_eq!(plan.epoch, 1);
-    assert!(plan.keeps_apart(CHAT) && !plan.keeps_apart(REPORT), "{plan:?}");
-    assert!((14..=24).contains(&plan.lane), "{plan:?}");
+    assert!(plan.isolates(CHAT) && !plan.isolates(REPORT), "{plan:?}");
+    assert!((14..=24).contains(&plan.pool_size), "{plan:?}");
 }
 
 /// A decider that has just begun has heard of a few gateways. Publishing what these have in progress
@@ -102,7 +102,7 @@
 
     let after = decide(&mut planner, START + Span::secs(9), Some(&before)).unwrap();
 
-    assert_eq!(after.lane, 0);
+    assert_eq!(after.pool_size, 0);
 }
 
 /// One engine rests for a moment. The end of the lane would move for all calls, there and back.
@@ -186,8 +186,8 @@
         planner.fade(START + SETTLED);
 
         if let Some(plan) = decide(&mut planner, START + SETTLED, None) {
-            prop_assert!(usize::from(plan.lane) <= ENGINES);
-            prop_assert!(plan.apart.len() <= 16);
+            prop_assert!(usize::from(plan.pool_size) <= ENGINES);
+            prop_assert!(plan.isolated_pauses_ms.len() <= 16);
         }
     }
 }
--- a/core/tests/gateway/lane.rs
+++ b/core/tests/gateway/pool.rs
@@ -1,7 +1,7 @@
 //! How many engines are set apart for streams that long prompts would disturb.
 
 use laburnumwheel_core::gateway::config::Engine;
-use laburnumwheel_core::gateway::lane::Lane;
+use laburnumwheel_core::gateway::pool::Pool;
 use laburnumwheel_core::time::Span;
 
 use crate::support::START;
@@ -12,15 +12,15 @@
     Engine { slots, kv_tokens: 600_000, stride: 5 }
 }
 
-/// A lane after streams that lasted for 800 ms, their prompts for `reading_ms` of it, beside other
+/// A pool after streams that lasted for 800 ms, their prompts for `reading_ms` of it, beside other
 /// calls that read for `others_ms` meanwhile.
-fn lane(reading_ms: f64, others_ms: f64) -> Lane {
-    let mut lane = Lane::default();
+fn pool(reading_ms: f64, others_ms: f64) -> Pool {
+    let mut pool = Pool::default();
     for _ in 0..200 {
-        lane.note_other(others_ms);
-        lane.note(reading_ms, Span::millis(800));
+        pool.note_other(others_ms);
+        pool.note(reading_ms, Span::millis(800));
     }
-    lane
+    pool
 }
 
 /// Questions with short prompts and short answers at engines of 64 places: by their places five
@@ -28,8 +28,8 @@
 /// they read they need three times as many.
 #[test]
 fn a_lane_has_room_for_the_prompts_of_its_own_streams() {
-    let few = lane(0.1, 0.0).size(START, 250, &engine(64), ENGINES);
-    let many = lane(20.0, 0.0).size(START, 250, &engine(64), ENGINES);
+    let few = pool(0.1, 0.0).size(START, 250, &engine(64), ENGINES);
+    let many = pool(20.0, 0.0).size(START, 250, &engine(64), ENGINES);
 
     assert!(few <= 6, "{few}");
     assert!((12..=20).contains(&many), "{many}");
@@ -38,32 +38,32 @@
 /// With engines of sixteen places it is these that run out.
 #[test]
 fn a_lane_has_places_for_its_streams() {
-    let size = lane(1.0, 0.0).size(START, 250, &engine(16), ENGINES);
+    let size = pool(1.0, 0.0).size(START, 250, &engine(16), ENGINES);
 
     assert!((18..=25).contains(&size), "{size}");
 }
 
-/// A burst of reports keeps all engines reading all the time. The lane gives some of its engines up
+/// A burst of reports keeps all engines reading all the time. The pool gives some of its engines up
 /// to them, instead of resting half of its time while they queue.
 #[test]
 fn a_lane_shares_in_an_overload() {
-    let alone = lane(20.0, 20.0).size(START, 600, &engine(64), ENGINES);
-    let beside = lane(20.0, 200.0).size(START, 600, &engine(64), ENGINES);
+    let alone = pool(20.0, 20.0).size(START, 600, &engine(64), ENGINES);
+    let beside = pool(20.0, 200.0).size(START, 600, &engine(64), ENGINES);
 
     assert!(beside < alone, "{beside} {alone}");
     assert!(beside >= 18, "{beside}");
 }
 
-/// A night of reports without a question, then questions again: within some hundred of them the lane
+/// A night of reports without a question, then questions again: within some hundred of them the pool
 /// is as large as if the night had not been.
 #[test]
 fn a_time_without_sensitive_streams_is_forgotten() {
-    let usual = lane(20.0, 0.0).size(START, 600, &engine(64), ENGINES);
-    let mut lane = lane(20.0, 0.0);
-    (0..1_000_000).for_each(|_| lane.note_other(100.0));
-    (0..400).for_each(|_| lane.note(20.0, Span::millis(800)));
+    let usual = pool(20.0, 0.0).size(START, 600, &engine(64), ENGINES);
+    let mut pool = pool(20.0, 0.0);
+    (0..1_000_000).for_each(|_| pool.note_other(100.0));
+    (0..400).for_each(|_| pool.note(20.0, Span::millis(800)));
 
-    let size = lane.size(START, 600, &engine(64), ENGINES);
+    let size = pool.size(START, 600, &engine(64), ENGINES);
 
     assert_eq!(size, usual);
 }
@@ -71,7 +71,7 @@
 /// The edges: no stream, one engine, and streams that would take all engines.
 #[test]
 fn a_lane_is_sound_at_its_edges() {
-    assert_eq!(lane(20.0, 0.0).size(START, 0, &engine(64), ENGINES), 0);
-    assert_eq!(lane(20.0, 0.0).size(START, 50, &engine(64), 1), 0);
-    assert_eq!(lane(20.0, 0.0).size(START, 60_000, &engine(64), ENGINES), ENGINES * 3 / 5);
+    assert_eq!(pool(20.0, 0.0).size(START, 0, &engine(64), ENGINES), 0);
+    assert_eq!(pool(20.0, 0.0).size(START, 50, &engine(64), 1), 0);
+    assert_eq!(pool(20.0, 0.0).size(START, 60_000, &engine(64), ENGINES), ENGINES * 3 / 5);
 }
--- a/gateway/src/call.rs
+++ b/gateway/src/call.rs
@@ -147,7 +147,7 @@
         .with("report_age_ms", claim.report_age.map_or(-1, |a| a.as_millis() as i64))
         .with("home", claim.home)
         .with("kept", claim.kept)
-        .with("lane", claim.lane)
+        .with("lane", claim.pool_size)
         .with("apart", claim.sensitive)
         .with("plan", claim.epoch)
 }
--- a/gateway/tests/decoders.rs
+++ b/gateway/tests/decoders.rs
@@ -46,7 +46,14 @@
         loads: vec![load; 3],
         paces: Vec::new(),
         suspects: Vec::new(),
-        plans: vec![Plan { service: 1, epoch: 2, by: 3, lane: 20, apart: vec![150], age_ms: 4 }],
+        plans: vec![Plan {
+            service: 1,
+            epoch: 2,
+            by: 3,
+            pool_size: 20,
+            isolated_pauses_ms: vec![150],
+            age_ms: 4,
+        }],
         version: 10,
         proof_age: Some(11),
     };
