--- a/core/src/gateway/directory.rs
+++ b/core/src/gateway/directory.rs
@@ -13,8 +13,8 @@
 use crate::gateway::gossip::Demand;
 use crate::gateway::gossip::Demands;
 use crate::gateway::gossip::Sighting;
-use crate::gateway::pace;
 use crate::gateway::plan::Plan;
+use crate::gateway::prefill;
 use crate::gateway::quarantine;
 use crate::incarnation::Digest;
 use crate::rendezvous;
@@ -64,7 +64,7 @@
     /// Loads of replicas.
     pub loads: Vec<Sighting>,
     /// What prompts cost at the engines of services.
-    pub paces: Vec<pace::Sighting>,
+    pub paces: Vec<prefill::Estimate>,
     /// What gateways agree on, by service.
     pub plans: Vec<Plan>,
     /// Recent changes of the quarantine.
--- a/core/src/gateway/fleet.rs
+++ b/core/src/gateway/fleet.rs
@@ -113,7 +113,7 @@
         self.calls = self.calls.wrapping_add(1);
         claim.call = u64::from(self.calls);
         if engine {
-            self.notify_owner(claim, Change::Sent(claim.reading_ms as f32));
+            self.notify_owner(claim, Change::Sent(claim.prefill_ms as f32));
         }
         if let Some(replica) = self.replicas.get_mut(claim.replica) {
             if replica.own == 0 {
@@ -122,7 +122,7 @@
             replica.engine = engine;
             replica.own += 1;
             replica.sensitive += u32::from(claim.sensitive);
-            replica.reading_ms += claim.reading_ms;
+            replica.prefill_ms += claim.prefill_ms;
             replica.cache.read(now, parts);
         }
     }
@@ -211,16 +211,16 @@
 
     /// Notes the first event of an attempt: its prompt has been read.
     pub fn first(&mut self, now: Time, claim: &mut Claim) {
-        if claim.read {
+        if claim.first_event_seen {
             return;
         }
-        claim.read = true;
+        claim.first_event_seen = true;
         claim.event = now;
         if self.is_engine(claim.replica) {
-            self.notify_owner(claim, Change::Read);
+            self.notify_owner(claim, Change::FirstEvent);
         }
         if let Some(replica) = self.replicas.get_mut(claim.replica) {
-            replica.reading_ms = (replica.reading_ms - claim.reading_ms).max(0.0);
+            replica.prefill_ms = (replica.prefill_ms - claim.prefill_ms).max(0.0);
             let took = now.since(claim.sent).as_secs_f64() * 1e3;
             let ratio = (took / (claim.expected_ms + 25.0)).clamp(0.2, 8.0);
             replica.slowness += SLOWNESS_WEIGHT * (ratio - replica.slowness);
@@ -233,10 +233,10 @@
         if self.is_engine(key) {
             self.notify_owner(&claim, Change::Ended);
         }
-        if !claim.read {
-            claim.read = true;
+        if !claim.first_event_seen {
+            claim.first_event_seen = true;
             if let Some(replica) = self.replicas.get_mut(key) {
-                replica.reading_ms = (replica.reading_ms - claim.reading_ms).max(0.0);
+                replica.prefill_ms = (replica.prefill_ms - claim.prefill_ms).max(0.0);
             }
         }
         if let Some(replica) = self.replicas.get_mut(key) {
--- a/core/src/gateway/fleet/choice.rs
+++ b/core/src/gateway/fleet/choice.rs
@@ -4,8 +4,8 @@
 use crate::gateway::ask::Part;
 use crate::gateway::directory;
 use crate::gateway::occupancy::Snapshot;
-use crate::gateway::pace;
-use crate::gateway::pace::Pace;
+use crate::gateway::prefill;
+use crate::gateway::prefill::Estimator;
 use crate::incarnation::Digest;
 use crate::rendezvous;
 use crate::time::Span;
@@ -75,7 +75,7 @@
     /// Time to its first event that is on time, in milliseconds.
     pub objective_ms: f64,
     /// What prompts cost at the service's engines.
-    pub pace: Pace,
+    pub prefill: Estimator,
 }
 
 /// An attempt's claim on a replica.
@@ -85,10 +85,10 @@
     pub replica: Key<Replica>,
     /// Its run.
     pub run: Digest,
-    /// What there is to read of the prompt; see [`pace::work`].
+    /// What there is to read of the prompt; see [`prefill::work`].
     pub work: f64,
     /// Time to read the prompt, in milliseconds.
-    pub reading_ms: f64,
+    pub prefill_ms: f64,
     /// Expected time to the first event or answer, in milliseconds.
     pub expected_ms: f64,
     /// Calls that the replica was taken to have, running and waiting.
@@ -111,9 +111,9 @@
     pub(super) call: u64,
     /// When the attempt was sent.
     pub sent: Time,
-    pub(in crate::gateway) read: bool,
+    pub(in crate::gateway) first_event_seen: bool,
     /// Nothing unread was known at the engine.
-    pub(in crate::gateway) alone: bool,
+    pub(in crate::gateway) prefill_sample: bool,
     pub(in crate::gateway) pause: Span,
     /// When the newest event came.
     pub(in crate::gateway) event: Time,
@@ -229,10 +229,10 @@
                 Some(u) => engine_ms(now, need, &u, replica, Home::of(&homes, *key), snapshot),
                 None => (0.0, plain_ms(now, replica)),
             };
-            let reading_ms = need.engine.map_or(0.0, |u| u.pace.reading_ms(work));
+            let prefill_ms = need.engine.map_or(0.0, |u| u.prefill.prefill_ms(work));
             let load = snapshot.map_or(replica.running(now), |s| f64::from(s.calls));
             let reading_others = match need.engine {
-                Some(u) => READING_OTHERS * reading_ms * load.min(f64::from(u.slots)),
+                Some(u) => READING_OTHERS * prefill_ms * load.min(f64::from(u.slots)),
                 None => 0.0,
             };
             let foreign = if replica.listing.domain == domain { 0.0 } else { FOREIGN_MS };
@@ -242,7 +242,7 @@
                 replica: *key,
                 run: replica.digest(),
                 work,
-                reading_ms,
+                prefill_ms,
                 expected_ms,
                 load,
                 waiting: replica.waiting(now),
@@ -254,8 +254,8 @@
                 service,
                 call: 0,
                 sent: now,
-                read: false,
-                alone: snapshot.is_some_and(|s| s.unread_ms <= 0.0),
+                first_event_seen: false,
+                prefill_sample: snapshot.is_some_and(|s| s.pending_prefill_ms <= 0.0),
                 pause: need.engine.map_or(Span(0), |u| u.pause),
                 event: now,
                 sensitive,
@@ -378,8 +378,8 @@
         }
         Home::None => known,
     };
-    let work = pace::work(cached, total.saturating_sub(cached));
-    let reading = u.pace.reading_ms(work);
+    let work = prefill::work(cached, total.saturating_sub(cached));
+    let reading = u.prefill.prefill_ms(work);
     if let Some(snapshot) = snapshot {
         return (work, kept_ms(u, reading, snapshot));
     }
@@ -387,21 +387,21 @@
     let over = (running - f64::from(u.slots)).max(0.0);
     let waiting = replica.waiting(now).max(over);
     let ahead = if u.last { waiting } else { waiting * AHEAD_OF_URGENT };
-    let queue = replica.reading_ms + WAITING_MS * ahead;
+    let queue = replica.prefill_ms + WAITING_MS * ahead;
     let beside = if u.last { RUNNING_LAST_MS } else { RUNNING_MS };
     (work, reading + queue + beside * running)
 }
 
 /// Expected time to the first event by an owner's snapshot, in milliseconds: until all prompts there
 /// are read, or enough calls have ended, whichever is later.
-fn kept_ms(u: &Use, reading_ms: f64, snapshot: &Snapshot) -> f64 {
+fn kept_ms(u: &Use, prefill_ms: f64, snapshot: &Snapshot) -> f64 {
     let ahead = if u.last { 1.0 } else { AHEAD_OF_URGENT };
     // Most calls in the lane are as urgent as this one, which passes none of them.
     let among_equals = u.sensitive && u.pool_size > 0;
     let behind = if among_equals { 1.0 } else { ahead };
     let over = (f64::from(snapshot.calls) + 1.0 - f64::from(u.slots)).max(0.0);
     let place = over * f64::from(snapshot.interval_ms);
-    (behind * place).max(ahead * f64::from(snapshot.unread_ms)) + reading_ms
+    (behind * place).max(ahead * f64::from(snapshot.pending_prefill_ms)) + prefill_ms
 }
 
 fn plain_ms(now: Time, replica: &Replica) -> f64 {
--- a/core/src/gateway/fleet/replica.rs
+++ b/core/src/gateway/fleet/replica.rs
@@ -104,7 +104,7 @@
     pub(super) sensitive: u32,
     pub(super) engine: bool,
     pub(super) own: u32,
-    pub(super) reading_ms: f64,
+    pub(super) prefill_ms: f64,
     pub(super) quiet_since: Time,
     /// When it was last known to live, from what it sent to any gateway.
     pub(super) alive: Time,
@@ -126,7 +126,7 @@
             sensitive: 0,
             engine: false,
             own: 0,
-            reading_ms: 0.0,
+            prefill_ms: 0.0,
             quiet_since: now,
             alive: Time(0),
             resting_until: Time(0),
--- a/core/src/gateway/model.rs
+++ b/core/src/gateway/model.rs
@@ -5,15 +5,15 @@
 use super::config::Engine;
 use super::config::Route;
 use super::gaps::Gaps;
-use super::pace::Pace;
 use super::pool::Pool;
+use super::prefill::Estimator;
 use crate::time::Span;
 
 /// Engines of one service as they were observed.
 #[derive(Debug, Default)]
 pub(super) struct Model {
     /// Cost of prompts.
-    pub(super) pace: Pace,
+    pub(super) prefill: Estimator,
     /// Gaps between events outside the lane.
     pub(super) gaps: Gaps,
     /// Isolated pool.
--- a/core/src/gateway/occupancy.rs
+++ b/core/src/gateway/occupancy.rs
@@ -37,7 +37,8 @@
     /// It was sent; its prompt takes so many milliseconds to read.
     Sent(f32),
     /// Its first event came.
-    Read,
+    #[serde(rename = "Read")]
+    FirstEvent,
     /// It ended.
     Ended,
 }
@@ -61,7 +62,8 @@
     /// Calls there, running and waiting.
     pub calls: u16,
     /// Time to read all prompts there that are not read yet, in milliseconds.
-    pub unread_ms: f32,
+    #[serde(rename = "unread_ms")]
+    pub pending_prefill_ms: f32,
     /// Usual time between two ends while the engine is full, in milliseconds.
     pub interval_ms: f32,
 }
@@ -70,7 +72,7 @@
     /// Whether its numbers are plausible. A single NaN would make every comparison of costs false.
     pub fn is_sound(&self) -> bool {
         let possible = 0.0..=MOST_MS;
-        possible.contains(&self.unread_ms) && possible.contains(&self.interval_ms)
+        possible.contains(&self.pending_prefill_ms) && possible.contains(&self.interval_ms)
     }
 }
 
@@ -78,7 +80,7 @@
 struct Entry {
     at: Time,
     /// Time to read the prompt, in milliseconds; zero when it has been read.
-    unread_ms: f64,
+    pending_prefill_ms: f64,
 }
 
 #[derive(Debug)]
@@ -111,12 +113,12 @@
         match update.change {
             Change::Sent(ms) => {
                 let ms = if ms.is_nan() { 0.0 } else { f64::from(ms) };
-                let entry = Entry { at: now, unread_ms: ms.clamp(0.0, MOST_UNREAD_MS) };
+                let entry = Entry { at: now, pending_prefill_ms: ms.clamp(0.0, MOST_UNREAD_MS) };
                 engine.entries.insert(update.call, entry);
             }
-            Change::Read => {
+            Change::FirstEvent => {
                 if let Some(entry) = engine.entries.get_mut(&update.call) {
-                    entry.unread_ms = 0.0;
+                    entry.pending_prefill_ms = 0.0;
                 }
             }
             Change::Ended => engine.end(now, update.call),
@@ -131,7 +133,8 @@
         settled.then(|| Snapshot {
             engine,
             calls: kept.entries.len().min(usize::from(u16::MAX)) as u16,
-            unread_ms: kept.entries.values().map(|e| e.unread_ms).sum::<f64>() as f32,
+            pending_prefill_ms: kept.entries.values().map(|e| e.pending_prefill_ms).sum::<f64>()
+                as f32,
             interval_ms: kept.interval_ms as f32,
         })
     }
--- a/core/src/gateway/plan.rs
+++ b/core/src/gateway/plan.rs
@@ -248,7 +248,7 @@
         for (class, count) in &sums.gaps {
             self.gaps.add(*class, f64::from(*count));
         }
-        self.pool.add(sums.reading_ms.into(), sums.life_ms.into(), sums.all_reading_ms.into());
+        self.pool.add(sums.prefill_ms.into(), sums.duration_ms.into(), sums.all_prefill_ms.into());
         let open = sums.streams.iter().take(MOST_KINDS).map(|s| (s.pause_ms, s.open)).collect();
         self.open.insert(gateway, (now, open));
     }
--- a/core/src/gateway/pool.rs
+++ b/core/src/gateway/pool.rs
@@ -42,33 +42,33 @@
     size: usize,
     needed: Time,
     /// Milliseconds that ended streams took to read, and lasted in all; the older count less.
-    reading_ms: f64,
-    life_ms: f64,
+    prefill_ms: f64,
+    duration_ms: f64,
     /// Milliseconds that all streams took to read meanwhile.
-    all_reading_ms: f64,
+    all_prefill_ms: f64,
 }
 
 impl Pool {
-    /// Notes a stream that ended: its prompt took `reading_ms`, and it lasted for `life`.
-    pub fn note(&mut self, reading_ms: f64, life: Span) {
+    /// Notes a stream that ended: its prompt took `prefill_ms`, and it lasted for `life`.
+    pub fn note(&mut self, prefill_ms: f64, life: Span) {
         self.fade();
-        self.reading_ms += reading_ms;
-        self.life_ms += life.as_secs_f64() * 1e3;
-        self.all_reading_ms += reading_ms;
+        self.prefill_ms += prefill_ms;
+        self.duration_ms += life.as_secs_f64() * 1e3;
+        self.all_prefill_ms += prefill_ms;
     }
 
     /// Notes a stream that is not sensitive, and ended.
-    pub fn note_other(&mut self, reading_ms: f64) {
+    pub fn note_other(&mut self, prefill_ms: f64) {
         self.fade();
-        self.all_reading_ms += reading_ms;
+        self.all_prefill_ms += prefill_ms;
     }
 
     /// Adds what other gateways saw, without making earlier sums older.
-    pub fn add(&mut self, reading_ms: f64, life_ms: f64, all_reading_ms: f64) {
+    pub fn add(&mut self, prefill_ms: f64, duration_ms: f64, all_prefill_ms: f64) {
         let sound = |ms: f64| if ms.is_finite() { ms.max(0.0) } else { 0.0 };
-        self.reading_ms += sound(reading_ms);
-        self.life_ms += sound(life_ms);
-        self.all_reading_ms += sound(all_reading_ms);
+        self.prefill_ms += sound(prefill_ms);
+        self.duration_ms += sound(duration_ms);
+        self.all_prefill_ms += sound(all_prefill_ms);
     }
 
     /// All sums fade alike: faded by sensitive streams only, hours without one would pile up what
@@ -79,7 +79,7 @@
 
     /// Keeps this part of the sums.
     pub fn fade_to(&mut self, keeps: f64) {
-        for sum in [&mut self.reading_ms, &mut self.life_ms, &mut self.all_reading_ms] {
+        for sum in [&mut self.prefill_ms, &mut self.duration_ms, &mut self.all_prefill_ms] {
             *sum *= keeps;
         }
     }
@@ -87,8 +87,8 @@
     /// Part of its time for which each engine would read if all shared all prompts, where sensitive
     /// streams keep `reading` engines of `engines` busy.
     fn load(&self, reading: f64, engines: usize) -> f64 {
-        if self.reading_ms > 0.0 {
-            reading * self.all_reading_ms / self.reading_ms / engines.max(1) as f64
+        if self.prefill_ms > 0.0 {
+            reading * self.all_prefill_ms / self.prefill_ms / engines.max(1) as f64
         } else {
             0.0
         }
@@ -97,7 +97,7 @@
     /// Part of a stream's life in which its prompt is read, and so the engines that each stream in
     /// progress keeps reading.
     fn reading_share(&self) -> f64 {
-        if self.life_ms > 0.0 { (self.reading_ms / self.life_ms).min(1.0) } else { 0.0 }
+        if self.duration_ms > 0.0 { (self.prefill_ms / self.duration_ms).min(1.0) } else { 0.0 }
     }
 
     /// The size at `now`, with `streams` sensitive streams over `engines` open engines.
--- a/core/src/gateway/pace.rs
+++ b/core/src/gateway/prefill.rs
@@ -43,7 +43,7 @@
 
 /// Prefill speed of a service's engines, as gateways gossip it.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Sighting {
+pub struct Estimate {
     /// Short hash of the service's name.
     pub service: u32,
     /// Milliseconds a token.
@@ -54,7 +54,7 @@
 
 /// Cost of prompts at the engines of one service.
 #[derive(Clone, Copy, Debug)]
-pub struct Pace {
+pub struct Estimator {
     token_ms: f64,
     call_ms: f64,
     weight: f64,
@@ -97,19 +97,19 @@
     }
 }
 
-impl Default for Pace {
-    fn default() -> Pace {
+impl Default for Estimator {
+    fn default() -> Estimator {
         let mut sums = Sums::default();
         for x in [0.0, 4_000.0] {
             sums.add(x, PRIOR_CALL_MS + PRIOR_TOKEN_MS * x, PRIOR_WEIGHT / 2.0);
         }
-        Pace { token_ms: PRIOR_TOKEN_MS, call_ms: PRIOR_CALL_MS, weight: 0.0, sums }
+        Estimator { token_ms: PRIOR_TOKEN_MS, call_ms: PRIOR_CALL_MS, weight: 0.0, sums }
     }
 }
 
-impl Pace {
+impl Estimator {
     /// Time to read prompts of this much work, in milliseconds.
-    pub fn reading_ms(&self, work: f64) -> f64 {
+    pub fn prefill_ms(&self, work: f64) -> f64 {
         self.token_ms * work
     }
 
@@ -123,7 +123,7 @@
         if !TELLING.contains(&work) || !took_ms.is_finite() {
             return;
         }
-        let expected = self.call_ms + self.reading_ms(work);
+        let expected = self.call_ms + self.prefill_ms(work);
         let took = took_ms.clamp(expected * (1.0 - CLIP), expected * (1.0 + CLIP));
         self.sums.decay();
         self.sums.add(work, took, 1.0);
@@ -135,13 +135,13 @@
     }
 
     /// What to gossip; `None` while nothing was seen.
-    pub fn gossip(&self, service: u32) -> Option<Sighting> {
+    pub fn gossip(&self, service: u32) -> Option<Estimate> {
         let (token_ms, weight) = (self.token_ms as f32, self.weight as f32);
-        (self.weight >= 1.0).then_some(Sighting { service, token_ms, weight })
+        (self.weight >= 1.0).then_some(Estimate { service, token_ms, weight })
     }
 
     /// Takes in what another gateway has learnt, as far as that rests on more than is known here.
-    pub fn receive(&mut self, received: &Sighting) {
+    pub fn receive(&mut self, received: &Estimate) {
         let (token_ms, weight) = (f64::from(received.token_ms), f64::from(received.weight));
         let bounds = FASTEST..=SLOWEST;
         let most = 1.0 / (1.0 - KEEPS);
--- a/core/src/gateway/state.rs
+++ b/core/src/gateway/state.rs
@@ -38,10 +38,10 @@
 use super::occupancy::Occupancy;
 use super::occupancy::Snapshot;
 use super::outage::Outage;
-use super::pace;
 use super::plan::Board;
 use super::plan::Comparison;
 use super::plan::Planner;
+use super::prefill;
 use super::quarantine::Quarantine;
 use super::refusal::Reason;
 use super::refusal::Refusal;
@@ -429,7 +429,7 @@
             common: self.common.tokens(now, &ask.parts, engines, gateways),
             pause: grant.route.pause,
             objective_ms: grant.route.objective.as_secs_f64() * 1e3,
-            pace: model.pace,
+            prefill: model.prefill,
         }
     }
 
@@ -482,15 +482,15 @@
         self.fleet.silent_in(now, claim.replica)
     }
 
-    fn gossip_paces(&self) -> Vec<pace::Sighting> {
+    fn gossip_paces(&self) -> Vec<prefill::Estimate> {
         let told = self.models.iter();
-        told.filter_map(|(service, model)| model.pace.gossip(directory::short(service))).collect()
+        told.filter_map(|(service, model)| model.prefill.gossip(directory::short(service))).collect()
     }
 
-    fn receive_paces(&mut self, paces: &[pace::Sighting]) {
+    fn receive_paces(&mut self, paces: &[prefill::Estimate]) {
         for (service, model) in &mut self.models {
             let short = directory::short(service);
-            paces.iter().filter(|p| p.service == short).for_each(|p| model.pace.receive(p));
+            paces.iter().filter(|p| p.service == short).for_each(|p| model.prefill.receive(p));
         }
     }
 }
--- a/core/src/gateway/state/attempts.rs
+++ b/core/src/gateway/state/attempts.rs
@@ -32,7 +32,7 @@
 
     /// Notes an event, or the whole answer, of an attempt; `true` if it is the first.
     pub fn event(&mut self, now: Time, claim: &mut Claim) -> bool {
-        if !claim.read {
+        if !claim.first_event_seen {
             self.first(now, claim);
             return true;
         }
@@ -50,13 +50,13 @@
 
     /// Notes the first event or the whole answer of an attempt.
     pub fn first(&mut self, now: Time, claim: &mut Claim) {
-        let is_first = !claim.read;
+        let is_first = !claim.first_event_seen;
         self.fleet.first(now, claim);
         if is_first && let Some(service) = self.fleet.service_of_usual(claim.replica) {
             let model = model(&mut self.models, service);
             model.begins(claim.pause);
-            if claim.alone {
-                model.pace.learn(claim.work, now.since(claim.sent).as_secs_f64() * 1e3);
+            if claim.prefill_sample {
+                model.prefill.learn(claim.work, now.since(claim.sent).as_secs_f64() * 1e3);
             }
             if let Some(tally) = self.tally(claim) {
                 tally.begins(claim.pause);
@@ -68,19 +68,19 @@
     pub fn done(&mut self, now: Time, claim: Claim, outcome: Outcome) {
         if let Some(tally) = self.tally(&claim) {
             tally.closes(claim.pause);
-            if claim.read {
+            if claim.first_event_seen {
                 let life = claim.sensitive.then(|| now.since(claim.sent));
-                tally.ends(claim.reading_ms, life);
+                tally.ends(claim.prefill_ms, life);
             }
         }
-        if claim.read
+        if claim.first_event_seen
             && claim.work > 0.0
             && let Some(replica) = self.fleet.get(claim.replica)
         {
             let pool = &mut model(&mut self.models, &replica.listing.service).pool;
             match claim.sensitive {
-                true => pool.note(claim.reading_ms, now.since(claim.sent)),
-                false => pool.note_other(claim.reading_ms),
+                true => pool.note(claim.prefill_ms, now.since(claim.sent)),
+                false => pool.note_other(claim.prefill_ms),
             }
         }
         self.fleet.done(now, claim, outcome);
--- a/core/src/gateway/tally.rs
+++ b/core/src/gateway/tally.rs
@@ -34,11 +34,13 @@
     /// Gaps between events beside long prompts: class of length (see [`gaps`]) and number.
     pub gaps: Vec<(u8, u16)>,
     /// Prefill time of ended streams of the isolated pool, in milliseconds.
-    pub reading_ms: f32,
+    pub prefill_ms: f32,
     /// Milliseconds that these lasted.
-    pub life_ms: f32,
+    #[serde(rename = "life_ms")]
+    pub duration_ms: f32,
     /// Milliseconds that all ended calls took to read.
-    pub all_reading_ms: f32,
+    #[serde(rename = "all_reading_ms")]
+    pub all_prefill_ms: f32,
 }
 
 /// Report of one gateway to the decider.
@@ -55,9 +57,9 @@
 pub struct Tally {
     streams: BTreeMap<Span, Stream>,
     gaps: BTreeMap<u8, u16>,
-    reading_ms: f64,
-    life_ms: f64,
-    all_reading_ms: f64,
+    prefill_ms: f64,
+    duration_ms: f64,
+    all_prefill_ms: f64,
     /// Streams in progress as last reported.
     told: u32,
 }
@@ -97,13 +99,13 @@
         }
     }
 
-    /// Counts a call that ended: its prompt took `reading_ms`. `life` is how long it lasted, if it is
+    /// Counts a call that ended: its prompt took `prefill_ms`. `life` is how long it lasted, if it is
     /// a stream of the isolated pool.
-    pub fn ends(&mut self, reading_ms: f64, life: Option<Span>) {
-        self.all_reading_ms += reading_ms;
+    pub fn ends(&mut self, prefill_ms: f64, life: Option<Span>) {
+        self.all_prefill_ms += prefill_ms;
         if let Some(life) = life {
-            self.reading_ms += reading_ms;
-            self.life_ms += life.as_secs_f64() * 1e3;
+            self.prefill_ms += prefill_ms;
+            self.duration_ms += life.as_secs_f64() * 1e3;
         }
     }
 
@@ -111,7 +113,7 @@
     pub fn take(&mut self, service: u32) -> Option<Sums> {
         let open: u32 = self.streams.values().map(|s| u32::from(s.open)).sum();
         // That the last stream has ended is news too.
-        if open == 0 && self.told == 0 && self.all_reading_ms <= 0.0 {
+        if open == 0 && self.told == 0 && self.all_prefill_ms <= 0.0 {
             return None;
         }
         self.told = open;
@@ -119,9 +121,9 @@
             service,
             streams: self.streams.values().copied().collect(),
             gaps: std::mem::take(&mut self.gaps).into_iter().collect(),
-            reading_ms: std::mem::take(&mut self.reading_ms) as f32,
-            life_ms: std::mem::take(&mut self.life_ms) as f32,
-            all_reading_ms: std::mem::take(&mut self.all_reading_ms) as f32,
+            prefill_ms: std::mem::take(&mut self.prefill_ms) as f32,
+            duration_ms: std::mem::take(&mut self.duration_ms) as f32,
+            all_prefill_ms: std::mem::take(&mut self.all_prefill_ms) as f32,
         };
         self.streams.retain(|_, stream| stream.open > 0);
         for stream in self.streams.values_mut() {
--- a/core/tests/gateway/loads.rs
+++ b/core/tests/gateway/loads.rs
@@ -77,9 +77,9 @@
     (pick("chat"), pick("report"))
 }
 
-fn snapshot(engine: &str, calls: u16, unread_ms: f32) -> Snapshot {
+fn snapshot(engine: &str, calls: u16, pending_prefill_ms: f32) -> Snapshot {
     let engine = Incarnation::unstated(engine).digest();
-    Snapshot { engine, calls, unread_ms, interval_ms: 60.0 }
+    Snapshot { engine, calls, pending_prefill_ms, interval_ms: 60.0 }
 }
 
 fn busy(gateway: &mut Gateway, now: Time, running: u16, waiting: u16) {
--- a/core/tests/gateway/occupancy.rs
+++ b/core/tests/gateway/occupancy.rs
@@ -38,12 +38,14 @@
 }
 
 /// What the owners of all of a report's engines say.
-fn snapshots(gateway: &mut Gateway, calls: u16, unread_ms: f32) -> Vec<Snapshot> {
+fn snapshots(gateway: &mut Gateway, calls: u16, pending_prefill_ms: f32) -> Vec<Snapshot> {
     let call = ask("report", &report(1));
     let grant = gateway.admit(START, &call).unwrap();
     let asked = gateway.queries(START, &call, &grant);
     let engines = asked.into_values().flatten();
-    engines.map(|engine| Snapshot { engine, calls, unread_ms, interval_ms: 60.0 }).collect()
+    engines
+        .map(|engine| Snapshot { engine, calls, pending_prefill_ms, interval_ms: 60.0 })
+        .collect()
 }
 
 fn pick(gateway: &mut Gateway, snapshots: &[Snapshot]) -> Result<Pick, Refusal> {
@@ -92,14 +94,14 @@
     let mut occupancy = Occupancy::default();
     occupancy.note(START, &update(1, Change::Sent(26.0)));
     occupancy.note(START, &update(2, Change::Sent(40.0)));
-    occupancy.note(START, &update(1, Change::Read));
+    occupancy.note(START, &update(1, Change::FirstEvent));
 
     let both = occupancy.snapshot(START + SETTLED, ENGINE).unwrap();
     occupancy.note(START + SETTLED, &update(1, Change::Ended));
     let one = occupancy.snapshot(START + SETTLED, ENGINE).unwrap();
 
-    assert_eq!((both.calls, both.unread_ms), (2, 40.0));
-    assert_eq!((one.calls, one.unread_ms), (1, 40.0));
+    assert_eq!((both.calls, both.pending_prefill_ms), (2, 40.0));
+    assert_eq!((one.calls, one.pending_prefill_ms), (1, 40.0));
 }
 
 /// An owner dies in a burst. The next one has seen none of the calls at the engine, and would call
@@ -165,7 +167,7 @@
     let mut gateway = gateway(10);
     let mut asked = snapshots(&mut gateway, 16, 300.0);
     asked[1].calls = 4;
-    asked[1].unread_ms = 20.0;
+    asked[1].pending_prefill_ms = 20.0;
 
     let pick = pick(&mut gateway, &asked).unwrap();
 
@@ -183,7 +185,7 @@
     let asked = gateway.queries(START, &call, &grant).into_values().flatten();
     let snapshot = |(i, engine)| {
         let calls = if i == 0 { 16 } else { 4 };
-        Snapshot { engine, calls, unread_ms: 0.0, interval_ms: 60.0 }
+        Snapshot { engine, calls, pending_prefill_ms: 0.0, interval_ms: 60.0 }
     };
     let asked: Vec<Snapshot> = asked.enumerate().map(snapshot).collect();
 
@@ -234,7 +236,7 @@
     // A gateway that keeps the engine itself has nothing to tell.
     if let Some(first) = told.next() {
         assert!(matches!(first, Change::Sent(ms) if ms > 20.0));
-        assert_eq!(told.collect::<Vec<_>>(), [Change::Read, Change::Ended]);
+        assert_eq!(told.collect::<Vec<_>>(), [Change::FirstEvent, Change::Ended]);
     }
     assert!(gateway.drain_updates(START).is_empty());
 }
--- a/core/tests/gateway/plan.rs
+++ b/core/tests/gateway/plan.rs
@@ -178,7 +178,7 @@
         let stream = |pause_ms| Stream { pause_ms, open, begun: open, events };
         let streams = pauses.into_iter().map(stream).collect();
         let sums = Sums {
-            service: SERVICE, streams, gaps, reading_ms: ms, life_ms: -ms, all_reading_ms: ms,
+            service: SERVICE, streams, gaps, prefill_ms: ms, duration_ms: -ms, all_prefill_ms: ms,
         };
         let foreign = Sums { service, ..Sums::default() };
         let mut planner = planner();
--- a/core/tests/gateway/pool.rs
+++ b/core/tests/gateway/pool.rs
@@ -12,13 +12,13 @@
     Engine { slots, kv_tokens: 600_000, stride: 5 }
 }
 
-/// A pool after streams that lasted for 800 ms, their prompts for `reading_ms` of it, beside other
+/// A pool after streams that lasted for 800 ms, their prompts for `prefill_ms` of it, beside other
 /// calls that read for `others_ms` meanwhile.
-fn pool(reading_ms: f64, others_ms: f64) -> Pool {
+fn pool(prefill_ms: f64, others_ms: f64) -> Pool {
     let mut pool = Pool::default();
     for _ in 0..200 {
         pool.note_other(others_ms);
-        pool.note(reading_ms, Span::millis(800));
+        pool.note(prefill_ms, Span::millis(800));
     }
     pool
 }
--- a/core/tests/gateway/pace.rs
+++ b/core/tests/gateway/prefill.rs
@@ -1,23 +1,23 @@
 //! Engines that nobody has measured before: how fast they read, and what that decides.
 
 use laburnumwheel_core::gateway::gaps::Gaps;
-use laburnumwheel_core::gateway::pace;
-use laburnumwheel_core::gateway::pace::Pace;
+use laburnumwheel_core::gateway::prefill;
+use laburnumwheel_core::gateway::prefill::Estimator;
 use laburnumwheel_core::time::Span;
 use proptest::prelude::*;
 
-/// A pace after `calls` that found nothing unread at engines of this speed.
-fn learnt(calls: u64, token_ms: f64) -> Pace {
-    let mut pace = Pace::default();
+/// A estimator after `calls` that found nothing unread at engines of this speed.
+fn learnt(calls: u64, token_ms: f64) -> Estimator {
+    let mut estimator = Estimator::default();
     for call in 0..calls {
-        let work = pace::work(0, 1_000 + call % 7 * 800);
-        pace.learn(work, 15.0 + token_ms * work);
+        let work = prefill::work(0, 1_000 + call % 7 * 800);
+        estimator.learn(work, 15.0 + token_ms * work);
     }
-    pace
+    estimator
 }
 
-fn is_near(pace: &Pace, token_ms: f64) -> bool {
-    (pace.token_ms() / token_ms - 1.0).abs() < 0.15
+fn is_near(estimator: &Estimator, token_ms: f64) -> bool {
+    (estimator.token_ms() / token_ms - 1.0).abs() < 0.15
 }
 
 /// Engines twice as fast, half as fast and eight times as slow as any that was measured are told
@@ -25,38 +25,38 @@
 #[test]
 fn engines_of_any_speed_are_learnt() {
     for token_ms in [0.004, 0.009, 0.016, 0.032, 0.1] {
-        let pace = learnt(200, token_ms);
+        let estimator = learnt(200, token_ms);
 
-        assert!(is_near(&pace, token_ms), "{} for {token_ms}", pace.token_ms());
+        assert!(is_near(&estimator, token_ms), "{} for {token_ms}", estimator.token_ms());
     }
 }
 
 /// A release brings engines that read half as fast: what was learnt of the former ones gives way.
 #[test]
 fn another_kind_of_engine_is_learnt_within_some_hundred_calls() {
-    let mut pace = learnt(300, 0.009);
+    let mut estimator = learnt(300, 0.009);
 
     for call in 0..400 {
-        let work = pace::work(0, 1_000 + call % 7 * 800);
-        pace.learn(work, 15.0 + 0.018 * work);
+        let work = prefill::work(0, 1_000 + call % 7 * 800);
+        estimator.learn(work, 15.0 + 0.018 * work);
     }
 
-    assert!(is_near(&pace, 0.018), "{}", pace.token_ms());
+    assert!(is_near(&estimator, 0.018), "{}", estimator.token_ms());
 }
 
 /// One call in twenty meets an engine that has lost the head it was thought to have, and takes ten
 /// times as long. That says nothing about how fast engines read.
 #[test]
 fn a_few_lost_heads_change_little() {
-    let mut pace = Pace::default();
+    let mut estimator = Estimator::default();
 
     for call in 0..500 {
-        let work = pace::work(0, 1_000 + call % 7 * 800);
+        let work = prefill::work(0, 1_000 + call % 7 * 800);
         let times = if call % 20 == 3 { 10.0 } else { 1.0 };
-        pace.learn(work, times * (15.0 + 0.016 * work));
+        estimator.learn(work, times * (15.0 + 0.016 * work));
     }
 
-    assert!(is_near(&pace, 0.016), "{}", pace.token_ms());
+    assert!(is_near(&estimator, 0.016), "{}", estimator.token_ms());
 }
 
 /// Seventy gateways need not each learn for themselves: one that has just started takes over what
@@ -64,28 +64,28 @@
 #[test]
 fn a_gateway_that_has_just_started_learns_from_others() {
     let told = learnt(200, 0.03).gossip(7).unwrap();
-    let mut pace = Pace::default();
+    let mut estimator = Estimator::default();
 
     for _ in 0..6 {
-        pace.receive(&told);
+        estimator.receive(&told);
     }
 
-    assert!(is_near(&pace, 0.03), "{}", pace.token_ms());
+    assert!(is_near(&estimator, 0.03), "{}", estimator.token_ms());
 }
 
 proptest! {
-    /// Whatever is seen or told, a pace stays a number that prompts can be weighed by.
+    /// Whatever is seen or told, a estimator stays a number that prompts can be weighed by.
     #[test]
     fn a_pace_stays_sound(seen in prop::collection::vec((any::<f64>(), any::<f64>()), 0..50),
                           told in prop::collection::vec((any::<f32>(), any::<f32>()), 0..20)) {
-        let mut pace = Pace::default();
+        let mut estimator = Estimator::default();
 
-        seen.into_iter().for_each(|(work, took)| pace.learn(work, took));
+        seen.into_iter().for_each(|(work, took)| estimator.learn(work, took));
         for (token_ms, weight) in told {
-            pace.receive(&pace::Sighting { service: 1, token_ms, weight });
+            estimator.receive(&prefill::Estimate { service: 1, token_ms, weight });
         }
 
-        prop_assert!((0.001..=0.16).contains(&pace.token_ms()));
+        prop_assert!((0.001..=0.16).contains(&estimator.token_ms()));
     }
 }
 
--- a/core/tests/gateway/restart.rs
+++ b/core/tests/gateway/restart.rs
@@ -105,7 +105,7 @@
 
     let now = pick(&mut gateway, START).1.claim;
     assert_eq!(replaced, [ID]);
-    assert!(known.load > 16.0 && known.reading_ms < 60.0);
+    assert!(known.load > 16.0 && known.prefill_ms < 60.0);
     assert_eq!(seen(&mut gateway, START), NOTHING);
     assert_ne!(now.replica, known.replica);
     assert_eq!(gateway.fleet().iter().map(|r| r.own()).collect::<Vec<_>>(), [0]);
--- a/core/tests/gateway/strays.rs
+++ b/core/tests/gateway/strays.rs
@@ -67,12 +67,12 @@
         gateway.note(START, &[update]);
         let kept = gateway.snapshots(START + Span::secs(2), &[engine(0)]);
         let wild =
-            Snapshot { engine: engine(1), calls, unread_ms: unread, interval_ms: interval };
+            Snapshot { engine: engine(1), calls, pending_prefill_ms: unread, interval_ms: interval };
 
         let by_kept = chosen(&mut gateway, &kept);
         let by_wild = chosen(&mut gateway, &[wild]);
 
-        prop_assert!(kept.iter().all(|s| s.unread_ms.is_finite() && s.unread_ms >= 0.0));
+        prop_assert!(kept.iter().all(|s| s.pending_prefill_ms.is_finite() && s.pending_prefill_ms >= 0.0));
         prop_assert!(by_kept.is_some_and(|(_, ms)| ms.is_finite() && ms >= 0.0));
         prop_assert!(by_wild.is_some_and(|(_, ms)| ms.is_finite() && ms >= 0.0));
     }
--- a/gateway/src/call.rs
+++ b/gateway/src/call.rs
@@ -141,7 +141,7 @@
     let claim = &pick.claim;
     line.with("replica", &pick.id)
         .with("expected_ms", claim.expected_ms.round())
-        .with("reading_ms", claim.reading_ms.round())
+        .with("reading_ms", claim.prefill_ms.round())
         .with("load", claim.load.round())
         .with("waiting", claim.waiting.round())
         .with("report_age_ms", claim.report_age.map_or(-1, |a| a.as_millis() as i64))
