--- a/core/src/gateway/engine.rs
+++ b/core/src/gateway/engine.rs
@@ -21,7 +21,7 @@
 
 impl Cache {
     /// Notes that the engine reads a prompt.
-    pub fn read(&mut self, now: Time, parts: &[Part]) {
+    pub fn record(&mut self, now: Time, parts: &[Part]) {
         for part in parts {
             self.parts.insert(part.id, now);
         }
@@ -39,7 +39,7 @@
     }
 
     /// Tokens at the head of a prompt that are taken to be cached.
-    pub fn cached(&self, now: Time, parts: &[Part]) -> u64 {
+    pub fn cached_tokens(&self, now: Time, parts: &[Part]) -> u64 {
         let kept = |p: &&Part| self.parts.get(&p.id).is_some_and(|at| now.since(*at) < KEPT);
         parts.iter().take_while(kept).map(|p| u64::from(p.tokens)).sum()
     }
@@ -65,7 +65,7 @@
 
 impl Common {
     /// Notes a use of the parts.
-    pub fn note(&mut self, now: Time, parts: &[Part]) {
+    pub fn record(&mut self, now: Time, parts: &[Part]) {
         for part in parts {
             let uses = self.parts.entry(part.id).or_insert(Uses { rate: 0.0, last: now });
             uses.rate = uses.at(now) + 1.0 / USES_OVER.as_secs_f64();
--- a/core/src/gateway/fleet.rs
+++ b/core/src/gateway/fleet.rs
@@ -58,7 +58,7 @@
     }
 
     /// Whether a run is listed.
-    pub fn has(&self, run: Digest) -> bool {
+    pub fn contains(&self, run: Digest) -> bool {
         self.by_digest.contains_key(&run)
     }
 
@@ -87,7 +87,7 @@
 
     /// How many of a service's listed replicas, from the first hash on, hold `wanted` that may get
     /// work at `now`.
-    pub fn reach(&self, now: Time, service: &str, wanted: usize) -> usize {
+    pub fn listed_prefix(&self, now: Time, service: &str, wanted: usize) -> usize {
         let keys = self.by_service.get(service).into_iter().flatten();
         let open = keys.filter_map(|k| self.replicas.get(*k)).filter(|r| !r.closed);
         let mut open: Vec<(u64, bool)> = open.map(|r| (r.hash, r.is_usable(now))).collect();
@@ -108,7 +108,7 @@
     }
 
     /// Notes that an attempt is sent.
-    pub fn sent(&mut self, now: Time, claim: &mut Claim, engine: bool, parts: &[Part]) {
+    pub fn record_sent(&mut self, now: Time, claim: &mut Claim, engine: bool, parts: &[Part]) {
         claim.sent = now;
         self.calls = self.calls.wrapping_add(1);
         claim.call = u64::from(self.calls);
@@ -123,7 +123,7 @@
             replica.own += 1;
             replica.sensitive += u32::from(claim.sensitive);
             replica.prefill_ms += claim.prefill_ms;
-            replica.cache.read(now, parts);
+            replica.cache.record(now, parts);
         }
     }
 
@@ -152,7 +152,7 @@
         replica.alive = now;
         replica.rest = FIRST_REST;
         if let Some(load) = load {
-            replica.learn(now, load.running, load.waiting);
+            replica.record_load(now, load.running, load.waiting);
         }
     }
 
@@ -167,7 +167,7 @@
             let at = gossip::at(now, s.age_ms);
             if replica.report.is_none_or(|r| r.at < at) {
                 replica.alive = replica.alive.max(at);
-                replica.learn(at, u32::from(s.running), u32::from(s.waiting));
+                replica.record_load(at, u32::from(s.running), u32::from(s.waiting));
             }
         }
     }
@@ -194,28 +194,28 @@
     }
 
     /// This gateway's streams that long prompts would disturb.
-    pub fn sensitive(&self) -> u32 {
+    pub fn sensitive_streams(&self) -> u32 {
         self.replicas.iter().map(|(_, r)| r.sensitive).sum()
     }
 
     /// Service of a replica, if it answers like its peers: a straggler says nothing about them.
-    pub fn service_of_usual(&self, key: Key<Replica>) -> Option<&str> {
+    pub fn service_unless_straggler(&self, key: Key<Replica>) -> Option<&str> {
         let replica = self.replicas.get(key)?;
         (replica.slowness < STRAGGLER).then_some(replica.listing.service.as_str())
     }
 
     /// Time until a replica that has work counts as silent; zero if it is now, or unknown.
-    pub fn silent_in(&self, now: Time, key: Key<Replica>) -> Span {
-        self.replicas.get(key).map_or(Span(0), |r| r.silent_in(now))
+    pub fn time_until_silent(&self, now: Time, key: Key<Replica>) -> Span {
+        self.replicas.get(key).map_or(Span(0), |r| r.time_until_silent(now))
     }
 
     /// Notes the first event of an attempt: its prompt has been read.
-    pub fn first(&mut self, now: Time, claim: &mut Claim) {
+    pub fn record_first_event(&mut self, now: Time, claim: &mut Claim) {
         if claim.first_event_seen {
             return;
         }
         claim.first_event_seen = true;
-        claim.event = now;
+        claim.last_event = now;
         if self.is_engine(claim.replica) {
             self.notify_owner(claim, Change::FirstEvent);
         }
@@ -228,7 +228,7 @@
     }
 
     /// Notes the end of an attempt that was sent.
-    pub fn done(&mut self, now: Time, mut claim: Claim, outcome: Outcome) {
+    pub fn record_end(&mut self, now: Time, mut claim: Claim, outcome: Outcome) {
         let key = claim.replica;
         if self.is_engine(key) {
             self.notify_owner(&claim, Change::Ended);
@@ -243,11 +243,11 @@
             replica.own = replica.own.saturating_sub(1);
             replica.sensitive -= u32::from(claim.sensitive).min(replica.sensitive);
         }
-        self.outcome(now, key, outcome);
+        self.record_outcome(now, key, outcome);
     }
 
     /// Notes what came of an attempt, sent or not.
-    pub fn outcome(&mut self, now: Time, key: Key<Replica>, outcome: Outcome) {
+    pub fn record_outcome(&mut self, now: Time, key: Key<Replica>, outcome: Outcome) {
         let Some(replica) = self.replicas.get_mut(key) else {
             return;
         };
--- a/core/src/gateway/fleet/amend.rs
+++ b/core/src/gateway/fleet/amend.rs
@@ -17,10 +17,10 @@
     }
 
     /// The list with what is known put before it: runs that are leaving, gone or replaced get nothing
-    /// new, and with `keep_missing` those in use stay, whether listed or not.
-    pub fn amend(&self, listings: Vec<Listing>, keep_missing: bool) -> Vec<Listing> {
-        let mut amended: Vec<Listing> = listings.into_iter().map(|l| self.amended(l)).collect();
-        if keep_missing {
+    /// new, and with `retain_missing` those in use stay, whether listed or not.
+    pub fn reconcile(&self, listings: Vec<Listing>, retain_missing: bool) -> Vec<Listing> {
+        let mut amended: Vec<Listing> = listings.into_iter().map(|l| self.reconciled(l)).collect();
+        if retain_missing {
             let listed: BTreeSet<&str> =
                 amended.iter().map(|listing| listing.incarnation.id.as_str()).collect();
             let in_use = self.iter().filter(|replica| !replica.closed);
@@ -32,7 +32,7 @@
         amended
     }
 
-    fn amended(&self, listing: Listing) -> Listing {
+    fn reconciled(&self, listing: Listing) -> Listing {
         let key = self.by_id.get(&listing.incarnation.id).copied();
         let known = key.and_then(|key| self.replicas.get(key));
         let is_gone = self.gone.contains_key(&listing.incarnation.digest());
--- a/core/src/gateway/fleet/choice.rs
+++ b/core/src/gateway/fleet/choice.rs
@@ -104,7 +104,7 @@
     /// Epoch of the plan that says so; 0 if this gateway knows of none and goes by what it saw.
     pub epoch: u32,
     /// The load is from the owner's snapshot.
-    pub kept: bool,
+    pub from_snapshot: bool,
     /// Short hash of the service's name.
     pub(in crate::gateway) service: u32,
     /// Number of the call at the owner.
@@ -116,7 +116,7 @@
     pub(in crate::gateway) prefill_sample: bool,
     pub(in crate::gateway) pause: Span,
     /// When the newest event came.
-    pub(in crate::gateway) event: Time,
+    pub(in crate::gateway) last_event: Time,
     /// The call is a stream of the isolated pool.
     pub sensitive: bool,
 }
@@ -220,7 +220,7 @@
         let at_home = need.engine.is_some_and(|u| own_shared(need.parts, &u) >= LONG_SHARED);
         let eligible = candidates.iter().filter(|(key, _)| !at_home || homes.contains(key));
         let snapshot =
-            |r: &Replica| need.snapshots.iter().find(|s| s.engine == r.digest() && s.is_sound());
+            |r: &Replica| need.snapshots.iter().find(|s| s.engine == r.digest() && s.is_valid());
         let any = eligible.clone().any(|(_, r)| snapshot(r).is_some());
         let eligible = eligible.filter(|(_, r)| !any || snapshot(r).is_some());
         let scored = eligible.map(|(key, replica)| {
@@ -250,14 +250,14 @@
                 home: homes[0] == *key,
                 pool_size: need.engine.map_or(0, |u| u.pool_size),
                 epoch: need.engine.map_or(0, |u| u.epoch),
-                kept: snapshot.is_some(),
+                from_snapshot: snapshot.is_some(),
                 service,
                 call: 0,
                 sent: now,
                 first_event_seen: false,
                 prefill_sample: snapshot.is_some_and(|s| s.pending_prefill_ms <= 0.0),
                 pause: need.engine.map_or(Span(0), |u| u.pause),
-                event: now,
+                last_event: now,
                 sensitive,
             };
             (expected_ms + reading_others + foreign + failing, claim)
@@ -311,7 +311,7 @@
 /// the lane for its short queues, and the streams there paused: on a day of high load 41 in 100
 /// questions were late, against 31.
 fn suits(u: &Use, claim: &Claim) -> bool {
-    let stops_another = !u.sensitive && claim.kept && claim.load >= f64::from(u.slots);
+    let stops_another = !u.sensitive && claim.from_snapshot && claim.load >= f64::from(u.slots);
     claim.expected_ms <= u.objective_ms && !stops_another
 }
 
@@ -370,7 +370,7 @@
 ) -> (f64, f64) {
     let total: u64 = need.parts.iter().map(|p| u64::from(p.tokens)).sum();
     let shared = total - need.parts.last().map_or(0, |p| u64::from(p.tokens));
-    let known = replica.cache.cached(now, need.parts).max(u.common);
+    let known = replica.cache.cached_tokens(now, need.parts).max(u.common);
     let cached = match home {
         Home::First => known.max(shared),
         Home::Second => {
--- a/core/src/gateway/fleet/list.rs
+++ b/core/src/gateway/fleet/list.rs
@@ -15,24 +15,24 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Changes {
     /// Listed for the first time.
-    pub came: Vec<String>,
+    pub added: Vec<String>,
     /// Another life is there than before.
     pub replaced: Vec<String>,
     /// Gets nothing new from now on.
     pub closed: Vec<String>,
     /// Not listed, and used all the same, as its lease may have lapsed in an outage of the store.
-    pub kept: Vec<String>,
+    pub retained: Vec<String>,
 }
 
 impl Fleet {
     /// Takes the list of replicas in; returns what changed by it.
     ///
-    /// With `keep_missing`, entries that are not listed stay as they are: after an outage of the
+    /// With `retain_missing`, entries that are not listed stay as they are: after an outage of the
     /// store entries are missing for a moment although their replicas live, and going by the list
     /// alone would empty the fleet.
-    pub fn update(&mut self, now: Time, listings: Vec<Listing>, keep_missing: bool) -> Changes {
+    pub fn update(&mut self, now: Time, listings: Vec<Listing>, retain_missing: bool) -> Changes {
         self.forget_gone(now);
-        let mut came = Vec::new();
+        let mut added = Vec::new();
         let mut replaced = Vec::new();
         let mut closed = Vec::new();
         let mut listed: BTreeMap<String, Key<Replica>> = BTreeMap::new();
@@ -57,7 +57,7 @@
                     self.insert(now, listing.clone())
                 }
                 None => {
-                    came.push(id.clone());
+                    added.push(id.clone());
                     self.insert(now, listing.clone())
                 }
             };
@@ -67,7 +67,7 @@
                 }
                 // An entry that left and is listed again lives: its lease had lapsed.
                 replica.closed = listing.leaving;
-                replica.kept = false;
+                replica.retained = false;
                 replica.listing = listing;
             }
             listed.insert(id, key);
@@ -78,9 +78,9 @@
             .filter(|(id, _)| !listed.contains_key(*id))
             .map(|(i, k)| (i.clone(), *k))
             .collect();
-        if keep_missing {
-            let kept = self.keep(&missing);
-            return Changes { came, replaced, closed, kept };
+        if retain_missing {
+            let retained = self.retain_all(&missing);
+            return Changes { added, replaced, closed, retained };
         }
         for (id, key) in missing {
             closed.extend(self.close(key).then(|| id.clone()));
@@ -88,7 +88,7 @@
                 self.forget(now, &id, key);
             }
         }
-        Changes { came, replaced, closed, kept: Vec::new() }
+        Changes { added, replaced, closed, retained: Vec::new() }
     }
 
     /// Whether an entry is of the life that is known.
@@ -109,7 +109,7 @@
         let Some(replica) = self.replicas.get_mut(key) else {
             return false;
         };
-        replica.kept = false;
+        replica.retained = false;
         !std::mem::replace(&mut replica.closed, true)
     }
 
@@ -125,7 +125,7 @@
         let in_use = self.replicas.iter().map(|(_, r)| r).filter(|r| !r.closed);
         for replica in in_use.filter(|r| !listed.contains(r.listing.incarnation.id.as_str())) {
             services.entry(&replica.listing.service).or_default().1 += 1;
-            newly += usize::from(!replica.kept);
+            newly += usize::from(!replica.retained);
         }
         Absence {
             most_at_once: newly > listings.len(),
@@ -142,27 +142,27 @@
         known.map_or("", |replica| &replica.listing.service)
     }
 
-    fn keep(&mut self, missing: &[(String, Key<Replica>)]) -> Vec<String> {
-        let mut kept = Vec::new();
+    fn retain_all(&mut self, missing: &[(String, Key<Replica>)]) -> Vec<String> {
+        let mut retained = Vec::new();
         for (id, key) in missing {
             if let Some(replica) = self.replicas.get_mut(*key)
                 && !replica.closed
             {
-                replica.kept = true;
-                kept.push(id.clone());
+                replica.retained = true;
+                retained.push(id.clone());
             }
         }
-        kept
+        retained
     }
 
     /// Closes the replicas that were kept although their entries are missing; returns their ids.
-    pub fn close_kept(&mut self) -> Vec<String> {
+    pub fn close_retained(&mut self) -> Vec<String> {
         let mut closed = Vec::new();
         for (id, key) in &self.by_id {
             if let Some(replica) = self.replicas.get_mut(*key)
-                && replica.kept
+                && replica.retained
             {
-                replica.kept = false;
+                replica.retained = false;
                 replica.closed = true;
                 closed.push(id.clone());
             }
--- a/core/src/gateway/fleet/replica.rs
+++ b/core/src/gateway/fleet/replica.rs
@@ -99,7 +99,7 @@
     /// It must get nothing new: it is leaving, or its entry is gone.
     pub closed: bool,
     /// Its entry is missing and may have lapsed in an outage of the store.
-    pub(super) kept: bool,
+    pub(super) retained: bool,
     pub(super) hash: u64,
     pub(super) sensitive: u32,
     pub(super) engine: bool,
@@ -121,7 +121,7 @@
         Replica {
             hash: listing.incarnation.hash(),
             closed: listing.leaving,
-            kept: false,
+            retained: false,
             listing,
             sensitive: 0,
             engine: false,
@@ -143,13 +143,13 @@
         self.own
     }
 
-    pub(super) fn silent_in(&self, now: Time) -> Span {
+    pub(super) fn time_until_silent(&self, now: Time) -> Span {
         let bound = if self.engine { ENGINE_SILENCE } else { PLAIN_SILENCE };
         (self.quiet_since + bound).since(now)
     }
 
     pub(super) fn is_silent(&self, now: Time) -> bool {
-        self.own > 0 && self.silent_in(now).0 == 0
+        self.own > 0 && self.time_until_silent(now).0 == 0
     }
 
     pub(super) fn is_usable(&self, now: Time) -> bool {
@@ -161,7 +161,7 @@
         Digest(self.hash as u32)
     }
 
-    pub(super) fn learn(&mut self, at: Time, running: u32, waiting: u32) {
+    pub(super) fn record_load(&mut self, at: Time, running: u32, waiting: u32) {
         // Added up as integers, an absurd report would overflow.
         let there = f64::from(running) + f64::from(waiting);
         let others = (there - f64::from(self.own)).max(0.0);
--- a/core/src/gateway/gaps.rs
+++ b/core/src/gateway/gaps.rs
@@ -42,13 +42,13 @@
 }
 
 /// The class of length that a gap is counted in, as gateways tell one another.
-pub fn class(gap: Span) -> u8 {
+pub fn bucket(gap: Span) -> u8 {
     length(gap) as u8
 }
 
 impl Gaps {
     /// Counts a gap.
-    pub fn note(&mut self, gap: Span) {
+    pub fn record(&mut self, gap: Span) {
         self.counts[length(gap)] += self.next;
         self.total += self.next;
         self.next *= (2.0_f64).powf(1.0 / HALF_LIFE);
@@ -69,7 +69,7 @@
     }
 
     /// Keeps this part of what was counted, and at least as much as is needed to go by it.
-    pub fn fade(&mut self, keeps: f64) {
+    pub fn decay(&mut self, keeps: f64) {
         let enough = HALF_LIFE * self.next / self.total.max(self.next);
         let keeps = keeps.max(enough.min(1.0));
         self.counts.iter_mut().for_each(|count| *count *= keeps);
--- a/core/src/gateway/model.rs
+++ b/core/src/gateway/model.rs
@@ -56,7 +56,7 @@
     }
 
     /// Counts a stream's first event.
-    pub(super) fn begins(&mut self, pause: Span) {
+    pub(super) fn record_first_event(&mut self, pause: Span) {
         let streams = self.streams.entry(pause).or_default();
         streams.begun = streams.begun * KEEPS + 1.0;
         streams.events = streams.events * KEEPS + 1.0;
@@ -64,10 +64,10 @@
 
     /// Counts a further event of a stream that may pause for `pause`, after `gap`. What happens
     /// `isolated` from long prompts says nothing about how it is beside them.
-    pub(super) fn goes_on(&mut self, pause: Span, gap: Span, isolated: bool) {
+    pub(super) fn record_event(&mut self, pause: Span, gap: Span, isolated: bool) {
         self.streams.entry(pause).or_default().events += 1.0;
         if !isolated {
-            self.gaps.note(gap);
+            self.gaps.record(gap);
         }
     }
 }
--- a/core/src/gateway/occupancy.rs
+++ b/core/src/gateway/occupancy.rs
@@ -70,7 +70,7 @@
 
 impl Snapshot {
     /// Whether its numbers are plausible. A single NaN would make every comparison of costs false.
-    pub fn is_sound(&self) -> bool {
+    pub fn is_valid(&self) -> bool {
         let possible = 0.0..=MOST_MS;
         possible.contains(&self.pending_prefill_ms) && possible.contains(&self.interval_ms)
     }
@@ -108,7 +108,7 @@
     }
 
     /// Records a change.
-    pub fn note(&mut self, now: Time, update: &Update) {
+    pub fn record(&mut self, now: Time, update: &Update) {
         let engine = self.engine(now, update.engine);
         match update.change {
             Change::Sent(ms) => {
@@ -140,14 +140,14 @@
     }
 
     /// Drops the calls of removed gateways.
-    pub fn retain(&mut self, mut lives: impl FnMut(u32) -> bool) {
+    pub fn retain_gateways(&mut self, mut lives: impl FnMut(u32) -> bool) {
         for engine in self.engines.values_mut() {
             engine.entries.retain(|call, _| lives((call >> 32) as u32));
         }
     }
 
     /// Drops engines that this gateway no longer owns.
-    pub fn release(&mut self, mut kept: impl FnMut(Digest) -> bool) {
+    pub fn retain_engines(&mut self, mut kept: impl FnMut(Digest) -> bool) {
         self.engines.retain(|engine, _| kept(*engine));
     }
 }
--- a/core/src/gateway/plan.rs
+++ b/core/src/gateway/plan.rs
@@ -162,7 +162,7 @@
 
 impl Planner {
     /// Records at `now` whether this gateway is the decider. A new decider starts empty.
-    pub fn is_decider(&mut self, now: Time, decides: bool) {
+    pub fn set_decider(&mut self, now: Time, decides: bool) {
         if !decides {
             *self = Planner::default();
         } else if self.since.is_none() {
@@ -172,19 +172,19 @@
     }
 
     /// Whether this gateway is the decider.
-    pub fn decides(&self) -> bool {
+    pub fn is_decider(&self) -> bool {
         self.since.is_some()
     }
 
     /// Merges a gateway's report; a gateway that does not decide ignores it.
-    pub fn absorb(&mut self, now: Time, report: &Report) {
+    pub fn merge(&mut self, now: Time, report: &Report) {
         if self.since.is_none() {
             return;
         }
         for sums in &report.services {
             if self.services.len() < MOST_SERVICES || self.services.contains_key(&sums.service) {
                 let service = self.services.entry(sums.service).or_default();
-                service.absorb(now, report.gateway, sums);
+                service.merge(now, report.gateway, sums);
             }
         }
     }
@@ -217,10 +217,10 @@
     }
 
     /// Lets what was seen before fade; to be called every now and then.
-    pub fn fade(&mut self, now: Time) {
+    pub fn decay(&mut self, now: Time) {
         let elapsed = now.since(std::mem::replace(&mut self.faded, now));
         let keeps = (0.5_f64).powf(elapsed.as_secs_f64() / HALF_LIFE.as_secs_f64());
-        self.services.values_mut().for_each(|service| service.fade(now, keeps));
+        self.services.values_mut().for_each(|service| service.decay(now, keeps));
     }
 }
 
@@ -234,7 +234,7 @@
 }
 
 impl Service {
-    fn absorb(&mut self, now: Time, gateway: u32, sums: &Sums) {
+    fn merge(&mut self, now: Time, gateway: u32, sums: &Sums) {
         for stream in sums.streams.iter().take(MOST_KINDS) {
             if self.kinds.len() >= MOST_KINDS && !self.kinds.contains_key(&stream.pause_ms) {
                 continue;
@@ -248,19 +248,23 @@
         for (class, count) in &sums.gaps {
             self.gaps.add(*class, f64::from(*count));
         }
-        self.pool.add(sums.prefill_ms.into(), sums.duration_ms.into(), sums.all_prefill_ms.into());
+        self.pool.merge(
+            sums.prefill_ms.into(),
+            sums.duration_ms.into(),
+            sums.all_prefill_ms.into(),
+        );
         let open = sums.streams.iter().take(MOST_KINDS).map(|s| (s.pause_ms, s.open)).collect();
         self.open.insert(gateway, (now, open));
     }
 
-    fn fade(&mut self, now: Time, keeps: f64) {
+    fn decay(&mut self, now: Time, keeps: f64) {
         for kind in self.kinds.values_mut() {
             let keeps = keeps.max((LEAST_BEGUN / kind.begun).min(1.0));
             kind.begun *= keeps;
             kind.events *= keeps;
         }
-        self.gaps.fade(keeps);
-        self.pool.fade_to(keeps);
+        self.gaps.decay(keeps);
+        self.pool.decay(keeps);
         self.open.retain(|_, (at, _)| now.since(*at) < REPORT_VALID);
     }
 
--- a/core/src/gateway/pool.rs
+++ b/core/src/gateway/pool.rs
@@ -50,21 +50,21 @@
 
 impl Pool {
     /// Notes a stream that ended: its prompt took `prefill_ms`, and it lasted for `life`.
-    pub fn note(&mut self, prefill_ms: f64, life: Span) {
-        self.fade();
+    pub fn record(&mut self, prefill_ms: f64, life: Span) {
+        self.decay_once();
         self.prefill_ms += prefill_ms;
         self.duration_ms += life.as_secs_f64() * 1e3;
         self.all_prefill_ms += prefill_ms;
     }
 
     /// Notes a stream that is not sensitive, and ended.
-    pub fn note_other(&mut self, prefill_ms: f64) {
-        self.fade();
+    pub fn record_other(&mut self, prefill_ms: f64) {
+        self.decay_once();
         self.all_prefill_ms += prefill_ms;
     }
 
     /// Adds what other gateways saw, without making earlier sums older.
-    pub fn add(&mut self, prefill_ms: f64, duration_ms: f64, all_prefill_ms: f64) {
+    pub fn merge(&mut self, prefill_ms: f64, duration_ms: f64, all_prefill_ms: f64) {
         let sound = |ms: f64| if ms.is_finite() { ms.max(0.0) } else { 0.0 };
         self.prefill_ms += sound(prefill_ms);
         self.duration_ms += sound(duration_ms);
@@ -73,12 +73,12 @@
 
     /// All sums fade alike: faded by sensitive streams only, hours without one would pile up what
     /// the others read, and the next ones would find a lane too small.
-    fn fade(&mut self) {
-        self.fade_to(KEEPS);
+    fn decay_once(&mut self) {
+        self.decay(KEEPS);
     }
 
     /// Keeps this part of the sums.
-    pub fn fade_to(&mut self, keeps: f64) {
+    pub fn decay(&mut self, keeps: f64) {
         for sum in [&mut self.prefill_ms, &mut self.duration_ms, &mut self.all_prefill_ms] {
             *sum *= keeps;
         }
--- a/core/src/gateway/state.rs
+++ b/core/src/gateway/state.rs
@@ -239,7 +239,7 @@
         let own = Demand {
             gateway: directory::short(&self.settings.entry.name),
             open: self.is_open(now),
-            sensitive: self.fleet.sensitive().min(u32::from(u16::MAX)) as u16,
+            sensitive: self.fleet.sensitive_streams().min(u32::from(u16::MAX)) as u16,
             age_ms: 0,
         };
         let mut demands = self.directory.gossip(now);
@@ -400,7 +400,7 @@
         };
         grant.weighed = Some(pick.clone());
         // A snapshot already counts what the other gateways have sent.
-        let dither = match claim.kept {
+        let dither = match claim.from_snapshot {
             true => 1.0,
             false => self.rng.random_range(DITHER_FROM..DITHER_TO),
         };
@@ -479,7 +479,7 @@
 
     /// Time until a replica with work of this gateway counts as silent; zero if it is now.
     pub fn silent_in(&self, now: Time, claim: &Claim) -> Span {
-        self.fleet.silent_in(now, claim.replica)
+        self.fleet.time_until_silent(now, claim.replica)
     }
 
     fn gossip_paces(&self) -> Vec<prefill::Estimate> {
--- a/core/src/gateway/state/attempts.rs
+++ b/core/src/gateway/state/attempts.rs
@@ -18,11 +18,11 @@
     pub fn sent(&mut self, now: Time, ask: &Ask, grant: &mut Grant, pick: &mut Pick) {
         grant.attempts += 1;
         grant.tried.push(pick.claim.replica);
-        self.fleet.sent(now, &mut pick.claim, pick.engine, &ask.parts);
+        self.fleet.record_sent(now, &mut pick.claim, pick.engine, &ask.parts);
         if let Some(tally) = self.tally(&pick.claim) {
-            tally.opens(pick.claim.pause);
+            tally.record_start(pick.claim.pause);
         }
-        self.common.note(now, &ask.parts);
+        self.common.record(now, &ask.parts);
     }
 
     /// Notes that something came from a replica.
@@ -36,13 +36,13 @@
             self.first(now, claim);
             return true;
         }
-        let gap = now.since(std::mem::replace(&mut claim.event, now));
+        let gap = now.since(std::mem::replace(&mut claim.last_event, now));
         let isolated = claim.sensitive && claim.pool_size > 0;
-        let usual = self.fleet.service_of_usual(claim.replica).map(str::to_owned);
+        let usual = self.fleet.service_unless_straggler(claim.replica).map(str::to_owned);
         if let Some(service) = usual {
-            model(&mut self.models, &service).goes_on(claim.pause, gap, isolated);
+            model(&mut self.models, &service).record_event(claim.pause, gap, isolated);
             if let Some(tally) = self.tally(claim) {
-                tally.goes_on(claim.pause, (!isolated).then_some(gap));
+                tally.record_event(claim.pause, (!isolated).then_some(gap));
             }
         }
         false
@@ -51,15 +51,15 @@
     /// Notes the first event or the whole answer of an attempt.
     pub fn first(&mut self, now: Time, claim: &mut Claim) {
         let is_first = !claim.first_event_seen;
-        self.fleet.first(now, claim);
-        if is_first && let Some(service) = self.fleet.service_of_usual(claim.replica) {
+        self.fleet.record_first_event(now, claim);
+        if is_first && let Some(service) = self.fleet.service_unless_straggler(claim.replica) {
             let model = model(&mut self.models, service);
-            model.begins(claim.pause);
+            model.record_first_event(claim.pause);
             if claim.prefill_sample {
                 model.prefill.learn(claim.work, now.since(claim.sent).as_secs_f64() * 1e3);
             }
             if let Some(tally) = self.tally(claim) {
-                tally.begins(claim.pause);
+                tally.record_first_event(claim.pause);
             }
         }
     }
@@ -67,10 +67,10 @@
     /// Notes the end of an attempt that was sent.
     pub fn done(&mut self, now: Time, claim: Claim, outcome: Outcome) {
         if let Some(tally) = self.tally(&claim) {
-            tally.closes(claim.pause);
+            tally.record_stream_end(claim.pause);
             if claim.first_event_seen {
                 let life = claim.sensitive.then(|| now.since(claim.sent));
-                tally.ends(claim.prefill_ms, life);
+                tally.record_call_end(claim.prefill_ms, life);
             }
         }
         if claim.first_event_seen
@@ -79,17 +79,17 @@
         {
             let pool = &mut model(&mut self.models, &replica.listing.service).pool;
             match claim.sensitive {
-                true => pool.note(claim.prefill_ms, now.since(claim.sent)),
-                false => pool.note_other(claim.prefill_ms),
+                true => pool.record(claim.prefill_ms, now.since(claim.sent)),
+                false => pool.record_other(claim.prefill_ms),
             }
         }
-        self.fleet.done(now, claim, outcome);
+        self.fleet.record_end(now, claim, outcome);
     }
 
     /// Notes that a replica could not be sent an attempt.
     pub fn unsent(&mut self, now: Time, grant: &mut Grant, key: Key<Replica>, outcome: Outcome) {
         grant.tried.push(key);
-        self.fleet.outcome(now, key, outcome);
+        self.fleet.record_outcome(now, key, outcome);
     }
 
     /// Counts for the next report, of the service of an engine; `None` for a plain service.
--- a/core/src/gateway/state/owner.rs
+++ b/core/src/gateway/state/owner.rs
@@ -44,7 +44,7 @@
 
     /// Snapshots of these engines, as far as this gateway owns them.
     pub fn snapshots(&mut self, now: Time, engines: &[Digest]) -> Vec<Snapshot> {
-        let listed = engines.iter().filter(|engine| self.fleet.has(**engine));
+        let listed = engines.iter().filter(|engine| self.fleet.contains(**engine));
         listed.filter_map(|engine| self.occupancy.snapshot(now, *engine)).collect()
     }
 
@@ -52,8 +52,8 @@
     /// yet listed, and its snapshot would be incomplete anyway.
     pub fn note(&mut self, now: Time, updates: &[Update]) {
         self.tidy(now);
-        for update in updates.iter().filter(|update| self.fleet.has(update.engine)) {
-            self.occupancy.note(now, update);
+        for update in updates.iter().filter(|update| self.fleet.contains(update.engine)) {
+            self.occupancy.record(now, update);
         }
     }
 
@@ -66,9 +66,10 @@
         let (directory, name) = (&self.directory, self.settings.entry.name.as_str());
         let own = directory::short(name);
         let fleet = &self.fleet;
-        self.occupancy
-            .release(|engine| fleet.has(engine) && directory.owner(now, name, engine).is_none());
-        self.occupancy.retain(|gateway| gateway == own || directory.lives(now, gateway));
+        self.occupancy.retain_engines(|engine| {
+            fleet.contains(engine) && directory.owner(now, name, engine).is_none()
+        });
+        self.occupancy.retain_gateways(|gateway| gateway == own || directory.lives(now, gateway));
     }
 
     /// Updates to send to other owners, by address. Those of owned engines are recorded here.
@@ -81,7 +82,7 @@
             let owner = self.directory.owner(now, &self.settings.entry.name, update.engine);
             match owner.map(|(_, address)| address.to_owned()) {
                 Some(address) => told.entry(address).or_default().push(update),
-                None if self.fleet.has(update.engine) => self.occupancy.note(now, &update),
+                None if self.fleet.contains(update.engine) => self.occupancy.record(now, &update),
                 None => {}
             }
         }
--- a/core/src/gateway/state/plans.rs
+++ b/core/src/gateway/state/plans.rs
@@ -22,7 +22,7 @@
 impl Gateway {
     /// Time from one report to the next, or from one decision to the next.
     pub fn reporting_period(&self) -> Span {
-        if self.planner.decides() {
+        if self.planner.is_decider() {
             return DECIDING;
         }
         let gateways = self.directory.sharers() as u64;
@@ -35,13 +35,13 @@
         let own = self.is_open(now).then_some(&self.settings.entry);
         let decider = self.directory.decider(now, own);
         let decides = decider.is_none() && own.is_some();
-        self.planner.is_decider(now, decides);
+        self.planner.set_decider(now, decides);
         let gateway = directory::short(&self.settings.entry.name);
         let tallies = self.tallies.iter_mut();
         let sums = tallies.filter_map(|(service, tally)| tally.take(*service));
         let report = Report { gateway, services: sums.collect() };
         if decides {
-            self.planner.absorb(now, &report);
+            self.planner.merge(now, &report);
             self.decide(now);
         }
         let address = decider?;
@@ -50,11 +50,11 @@
 
     /// Takes in what another gateway has seen.
     pub fn receive_report(&mut self, now: Time, report: &Report) {
-        self.planner.absorb(now, report);
+        self.planner.merge(now, report);
     }
 
     fn decide(&mut self, now: Time) {
-        self.planner.fade(now);
+        self.planner.decay(now);
         let Some(config) = self.config.clone() else {
             return;
         };
@@ -71,7 +71,7 @@
                 engines: self.fleet.usable(now, &service.name),
                 known: self.plans.get(short),
             };
-            let reach = |wanted| self.fleet.reach(now, &service.name, wanted);
+            let reach = |wanted| self.fleet.listed_prefix(now, &service.name, wanted);
             let decided = self.planner.decide(now, by, &subject, reach);
             if let Some(plan) = decided {
                 self.plans.receive(now, &plan);
@@ -113,7 +113,7 @@
             let sensitive = grant.route.streams && plan.isolates(grant.route.pause);
             return (sensitive, usize::from(plan.pool_size));
         }
-        let streams = self.directory.sensitive(now) + self.fleet.sensitive();
+        let streams = self.directory.sensitive(now) + self.fleet.sensitive_streams();
         let model = super::model(&mut self.models, &grant.service);
         let sensitive = model.is_sensitive(&grant.route, engine);
         (sensitive, model.pool.size(now, streams, engine, engines))
--- a/core/src/gateway/state/reads.rs
+++ b/core/src/gateway/state/reads.rs
@@ -49,7 +49,7 @@
     /// store may have gone back.
     pub fn amend(&self, sent: Time, replicas: Vec<Listing>) -> Vec<Listing> {
         match self.returned.may_show_gone(sent) {
-            true => self.fleet.amend(replicas, self.returned.may_lack(sent)),
+            true => self.fleet.reconcile(replicas, self.returned.may_lack(sent)),
             false => replicas,
         }
     }
@@ -85,7 +85,7 @@
     /// Returns replicas that are closed by it, as their entries did not come back.
     pub fn confirm_view(&mut self, sent: Time) -> Vec<String> {
         self.freshness.prove(sent);
-        if self.outage.is_over(sent) { self.fleet.close_kept() } else { Vec::new() }
+        if self.outage.is_over(sent) { self.fleet.close_retained() } else { Vec::new() }
     }
 
     /// Notes the version that a peer serves by.
--- a/core/src/gateway/tally.rs
+++ b/core/src/gateway/tally.rs
@@ -72,36 +72,36 @@
     }
 
     /// Counts a stream that is sent.
-    pub fn opens(&mut self, pause: Span) {
+    pub fn record_start(&mut self, pause: Span) {
         let stream = self.stream(pause);
         stream.open = stream.open.saturating_add(1);
     }
 
     /// Counts the end of a stream.
-    pub fn closes(&mut self, pause: Span) {
+    pub fn record_stream_end(&mut self, pause: Span) {
         let stream = self.stream(pause);
         stream.open = stream.open.saturating_sub(1);
     }
 
     /// Counts a first event.
-    pub fn begins(&mut self, pause: Span) {
+    pub fn record_first_event(&mut self, pause: Span) {
         let stream = self.stream(pause);
         stream.begun = stream.begun.saturating_add(1);
     }
 
     /// Counts a further event that came after `gap`, if that says how it is beside long prompts.
-    pub fn goes_on(&mut self, pause: Span, gap: Option<Span>) {
+    pub fn record_event(&mut self, pause: Span, gap: Option<Span>) {
         let stream = self.stream(pause);
         stream.events = stream.events.saturating_add(1);
         if let Some(gap) = gap {
-            let count = self.gaps.entry(gaps::class(gap)).or_default();
+            let count = self.gaps.entry(gaps::bucket(gap)).or_default();
             *count = count.saturating_add(1);
         }
     }
 
     /// Counts a call that ended: its prompt took `prefill_ms`. `life` is how long it lasted, if it is
     /// a stream of the isolated pool.
-    pub fn ends(&mut self, prefill_ms: f64, life: Option<Span>) {
+    pub fn record_call_end(&mut self, prefill_ms: f64, life: Option<Span>) {
         self.all_prefill_ms += prefill_ms;
         if let Some(life) = life {
             self.prefill_ms += prefill_ms;
--- a/core/tests/gateway/fleet.rs
+++ b/core/tests/gateway/fleet.rs
@@ -94,7 +94,7 @@
 
     let changes = gateway.list(now, now, vec![], vec![entry("one"), entry("two")]);
 
-    assert_eq!(changes.kept, ["engine-0", "engine-1"]);
+    assert_eq!(changes.retained, ["engine-0", "engine-1"]);
     assert!(chosen(&mut gateway, now).is_some());
 }
 
@@ -156,7 +156,7 @@
     gateway.list(whole, whole, listings(3), vec![]);
 
     assert_eq!(changes.closed, ["engine-0"]);
-    assert_eq!(changes.kept, ["engine-1", "engine-2"]);
+    assert_eq!(changes.retained, ["engine-1", "engine-2"]);
     assert_eq!(used, 2);
     assert_eq!(gateway.fleet().usable(whole, "engines"), 3);
 }
@@ -169,7 +169,7 @@
 
     let changes = gateway.list(START, START, listed, vec![]);
 
-    assert!(changes.came.is_empty() && changes.closed.is_empty());
+    assert!(changes.added.is_empty() && changes.closed.is_empty());
     assert_eq!(gateway.fleet().iter().count(), 1);
 }
 
--- a/core/tests/gateway/occupancy.rs
+++ b/core/tests/gateway/occupancy.rs
@@ -92,12 +92,12 @@
 #[test]
 fn a_keeper_counts_calls_until_they_end_and_prompts_until_they_are_read() {
     let mut occupancy = Occupancy::default();
-    occupancy.note(START, &update(1, Change::Sent(26.0)));
-    occupancy.note(START, &update(2, Change::Sent(40.0)));
-    occupancy.note(START, &update(1, Change::FirstEvent));
+    occupancy.record(START, &update(1, Change::Sent(26.0)));
+    occupancy.record(START, &update(2, Change::Sent(40.0)));
+    occupancy.record(START, &update(1, Change::FirstEvent));
 
     let both = occupancy.snapshot(START + SETTLED, ENGINE).unwrap();
-    occupancy.note(START + SETTLED, &update(1, Change::Ended));
+    occupancy.record(START + SETTLED, &update(1, Change::Ended));
     let one = occupancy.snapshot(START + SETTLED, ENGINE).unwrap();
 
     assert_eq!((both.calls, both.pending_prefill_ms), (2, 40.0));
@@ -109,7 +109,7 @@
 #[test]
 fn a_keeper_that_has_just_begun_says_nothing() {
     let mut occupancy = Occupancy::default();
-    occupancy.note(START, &update(1, Change::Sent(26.0)));
+    occupancy.record(START, &update(1, Change::Sent(26.0)));
 
     assert_eq!(occupancy.snapshot(START + Span::millis(200), ENGINE), None);
 }
@@ -120,10 +120,10 @@
 fn calls_of_a_gateway_that_is_gone_count_no_longer() {
     let mut occupancy = Occupancy::default();
     let of = |gateway: &str| u64::from(short(gateway)) << 32;
-    occupancy.note(START, &update(of("gone") | 1, Change::Sent(26.0)));
-    occupancy.note(START, &update(of("alive") | 1, Change::Sent(26.0)));
+    occupancy.record(START, &update(of("gone") | 1, Change::Sent(26.0)));
+    occupancy.record(START, &update(of("alive") | 1, Change::Sent(26.0)));
 
-    occupancy.retain(|gateway| gateway == short("alive"));
+    occupancy.retain_gateways(|gateway| gateway == short("alive"));
 
     assert_eq!(occupancy.snapshot(START + SETTLED, ENGINE).unwrap().calls, 1);
 }
@@ -131,7 +131,7 @@
 #[test]
 fn a_call_whose_end_was_lost_on_the_way_counts_only_for_a_while() {
     let mut occupancy = Occupancy::default();
-    occupancy.note(START, &update(1, Change::Sent(26.0)));
+    occupancy.record(START, &update(1, Change::Sent(26.0)));
 
     assert_eq!(occupancy.snapshot(START + Span::secs(16), ENGINE).unwrap().calls, 0);
 }
@@ -146,7 +146,7 @@
 
     let pick = pick(&mut gateway, &free).unwrap();
 
-    assert!(pick.claim.kept);
+    assert!(pick.claim.from_snapshot);
     assert!(pick.claim.expected_ms < 200.0);
 }
 
--- a/core/tests/gateway/outage.rs
+++ b/core/tests/gateway/outage.rs
@@ -37,7 +37,7 @@
 fn read(gateway: &mut Gateway, sent: Time, took: Span, replicas: &[&str]) -> Vec<String> {
     gateway.learn(sent, None);
     let found = replicas.iter().map(|id| listing(id)).collect();
-    gateway.list(sent, sent + took, found, vec![entry("one"), entry("two")]).kept
+    gateway.list(sent, sent + took, found, vec![entry("one"), entry("two")]).retained
 }
 
 /// Callers are refused for want of replicas after an outage of four seconds, although all live.
--- a/core/tests/gateway/plan.rs
+++ b/core/tests/gateway/plan.rs
@@ -31,20 +31,20 @@
 /// A gateway with `chats` in progress, whose reports paused for 400 ms once in ten events.
 fn report(gateway: u32, chats: u16) -> Report {
     let mut tally = Tally::default();
-    (0..chats).for_each(|_| tally.opens(CHAT));
-    tally.begins(CHAT);
-    (0..30).for_each(|_| tally.goes_on(CHAT, None));
+    (0..chats).for_each(|_| tally.record_start(CHAT));
+    tally.record_first_event(CHAT);
+    (0..30).for_each(|_| tally.record_event(CHAT, None));
     for i in 0..100 {
         let gap = if i % 10 == 0 { 400 } else { 60 };
-        tally.goes_on(REPORT, Some(Span::millis(gap)));
+        tally.record_event(REPORT, Some(Span::millis(gap)));
     }
-    tally.ends(20.0, Some(Span::secs(2)));
+    tally.record_call_end(20.0, Some(Span::secs(2)));
     Report { gateway, services: tally.take(SERVICE).into_iter().collect() }
 }
 
 fn planner() -> Planner {
     let mut planner = Planner::default();
-    planner.is_decider(START, true);
+    planner.set_decider(START, true);
     planner
 }
 
@@ -62,7 +62,7 @@
 #[test]
 fn what_each_sees_a_little_of_is_added_up() {
     let mut planner = planner();
-    (0..200).for_each(|gateway| planner.absorb(START, &report(gateway, 1)));
+    (0..200).for_each(|gateway| planner.merge(START, &report(gateway, 1)));
 
     let plan = decide(&mut planner, START + SETTLED, None).unwrap();
 
@@ -76,7 +76,7 @@
 #[test]
 fn a_decider_that_has_just_begun_leaves_the_plan_as_it_is() {
     let mut planner = planner();
-    planner.absorb(START, &report(1, 1));
+    planner.merge(START, &report(1, 1));
 
     assert_eq!(decide(&mut planner, START + Span::millis(500), Some(&plan(9, 2))), None);
 }
@@ -86,7 +86,7 @@
 #[test]
 fn the_next_decider_goes_on_from_the_last_epoch() {
     let mut planner = planner();
-    (0..200).for_each(|gateway| planner.absorb(START, &report(gateway, 3)));
+    (0..200).for_each(|gateway| planner.merge(START, &report(gateway, 3)));
 
     let next = decide(&mut planner, START + SETTLED, Some(&plan(9, 2))).unwrap();
 
@@ -97,7 +97,7 @@
 #[test]
 fn a_gateway_that_is_not_heard_of_any_more_has_no_streams() {
     let mut planner = planner();
-    (0..200).for_each(|gateway| planner.absorb(START, &report(gateway, 3)));
+    (0..200).for_each(|gateway| planner.merge(START, &report(gateway, 3)));
     let before = decide(&mut planner, START + SETTLED, None).unwrap();
 
     let after = decide(&mut planner, START + Span::secs(9), Some(&before)).unwrap();
@@ -109,7 +109,7 @@
 #[test]
 fn an_engine_that_rests_for_a_moment_does_not_move_the_lane() {
     let mut planner = planner();
-    (0..200).for_each(|gateway| planner.absorb(START, &report(gateway, 1)));
+    (0..200).for_each(|gateway| planner.merge(START, &report(gateway, 1)));
     let now = START + SETTLED;
     let subject = |known| Subject { service: SERVICE, engine: &ENGINE, engines: ENGINES, known };
     let longer = planner.decide(now, 1, &subject(None), |wanted| wanted + 1).unwrap();
@@ -153,9 +153,9 @@
 #[test]
 fn the_end_of_the_last_stream_is_told() {
     let mut tally = Tally::default();
-    tally.opens(CHAT);
+    tally.record_start(CHAT);
     let with_one = tally.take(SERVICE).unwrap();
-    tally.closes(CHAT);
+    tally.record_stream_end(CHAT);
 
     let without = tally.take(SERVICE);
 
@@ -182,8 +182,8 @@
         };
         let foreign = Sums { service, ..Sums::default() };
         let mut planner = planner();
-        planner.absorb(START, &Report { gateway: 1, services: vec![sums, foreign] });
-        planner.fade(START + SETTLED);
+        planner.merge(START, &Report { gateway: 1, services: vec![sums, foreign] });
+        planner.decay(START + SETTLED);
 
         if let Some(plan) = decide(&mut planner, START + SETTLED, None) {
             prop_assert!(usize::from(plan.pool_size) <= ENGINES);
--- a/core/tests/gateway/pool.rs
+++ b/core/tests/gateway/pool.rs
@@ -17,8 +17,8 @@
 fn pool(prefill_ms: f64, others_ms: f64) -> Pool {
     let mut pool = Pool::default();
     for _ in 0..200 {
-        pool.note_other(others_ms);
-        pool.note(prefill_ms, Span::millis(800));
+        pool.record_other(others_ms);
+        pool.record(prefill_ms, Span::millis(800));
     }
     pool
 }
@@ -60,8 +60,8 @@
 fn a_time_without_sensitive_streams_is_forgotten() {
     let usual = pool(20.0, 0.0).size(START, 600, &engine(64), ENGINES);
     let mut pool = pool(20.0, 0.0);
-    (0..1_000_000).for_each(|_| pool.note_other(100.0));
-    (0..400).for_each(|_| pool.note(20.0, Span::millis(800)));
+    (0..1_000_000).for_each(|_| pool.record_other(100.0));
+    (0..400).for_each(|_| pool.record(20.0, Span::millis(800)));
 
     let size = pool.size(START, 600, &engine(64), ENGINES);
 
--- a/core/tests/gateway/prefill.rs
+++ b/core/tests/gateway/prefill.rs
@@ -96,7 +96,7 @@
 fn streams_are_kept_apart_where_they_would_be_late() {
     let mut gaps = Gaps::default();
     for event in 0..2_000 {
-        gaps.note(Span::millis(if event % 50 == 0 { 200 } else { 20 }));
+        gaps.record(Span::millis(if event % 50 == 0 { 200 } else { 20 }));
     }
 
     let late = |pause, events| gaps.are_late(Span::millis(pause), events, 5, false);
@@ -110,7 +110,7 @@
 fn streams_that_are_never_late_need_no_engines_of_their_own() {
     let mut gaps = Gaps::default();
     for _ in 0..2_000 {
-        gaps.note(Span::millis(90));
+        gaps.record(Span::millis(90));
     }
 
     assert!(!gaps.are_late(Span::millis(150), 90.0, 5, true));
@@ -120,7 +120,7 @@
 #[test]
 fn a_prior_decides_until_gaps_were_seen() {
     let mut gaps = Gaps::default();
-    (0..100).for_each(|_| gaps.note(Span::millis(5)));
+    (0..100).for_each(|_| gaps.record(Span::millis(5)));
 
     let late = |pause| gaps.are_late(Span::millis(pause), 30.0, 5, false);
     assert!(late(150) && !late(600) && !late(0));
--- a/core/tests/gateway/restart.rs
+++ b/core/tests/gateway/restart.rs
@@ -109,7 +109,7 @@
     assert_eq!(seen(&mut gateway, START), NOTHING);
     assert_ne!(now.replica, known.replica);
     assert_eq!(gateway.fleet().iter().map(|r| r.own()).collect::<Vec<_>>(), [0]);
-    assert_eq!(gateway.fleet().sensitive(), 0);
+    assert_eq!(gateway.fleet().sensitive_streams(), 0);
     assert_eq!(gateway.silent_in(START, &running.claim), Span(0));
 }
 
@@ -215,7 +215,7 @@
     let changes = gateway.list(back, back, vec![life(SECOND)], vec![]);
 
     assert_eq!(changes.replaced, [ID]);
-    assert_eq!(changes.kept, ["engine-1", "engine-2"]);
+    assert_eq!(changes.retained, ["engine-1", "engine-2"]);
 }
 
 /// The same entry is read again and again; only another start is another life.
--- a/gateway/src/call.rs
+++ b/gateway/src/call.rs
@@ -146,7 +146,7 @@
         .with("waiting", claim.waiting.round())
         .with("report_age_ms", claim.report_age.map_or(-1, |a| a.as_millis() as i64))
         .with("home", claim.home)
-        .with("kept", claim.kept)
+        .with("kept", claim.from_snapshot)
         .with("lane", claim.pool_size)
         .with("apart", claim.sensitive)
         .with("plan", claim.epoch)
--- a/gateway/src/store.rs
+++ b/gateway/src/store.rs
@@ -371,7 +371,7 @@
     if newer {
         shared.log(line("configuration").with("before", before));
     }
-    for id in changes.came {
+    for id in changes.added {
         shared.log(line("replica_listed").with("replica", id));
     }
     for id in changes.replaced {
@@ -380,8 +380,8 @@
     for id in changes.closed {
         shared.log(line("replica_closed").with("replica", id));
     }
-    if !changes.kept.is_empty() {
-        shared.log(line("missing_replicas_kept").with("replicas", changes.kept.join(",")));
+    if !changes.retained.is_empty() {
+        shared.log(line("missing_replicas_kept").with("replicas", changes.retained.join(",")));
     }
 }
 
