--- a/core/src/gateway/state.rs
+++ b/core/src/gateway/state.rs
@@ -484,7 +484,8 @@
 
     fn gossip_paces(&self) -> Vec<prefill::Estimate> {
         let told = self.models.iter();
-        told.filter_map(|(service, model)| model.prefill.gossip(directory::short(service))).collect()
+        told.filter_map(|(service, model)| model.prefill.gossip(directory::short(service)))
+            .collect()
     }
 
     fn receive_paces(&mut self, paces: &[prefill::Estimate]) {
