--- a/core/src/gateway/engine.rs
+++ b/core/src/gateway/engine.rs
@@ -47,7 +47,7 @@
 
 /// Parts that so many calls share that every engine has read them lately.
 #[derive(Debug, Default)]
-pub struct Common {
+pub struct Popularity {
     parts: BTreeMap<u64, Uses>,
 }
 
@@ -63,7 +63,7 @@
 /// two seconds it stays cached even where caches turn over fastest.
 const COMMON_RATE: f64 = 0.5;
 
-impl Common {
+impl Popularity {
     /// Notes a use of the parts.
     pub fn record(&mut self, now: Time, parts: &[Part]) {
         for part in parts {
@@ -81,7 +81,7 @@
 
     /// Tokens at the head of a prompt that every one of `engines` has cached, as one of `gateways`
     /// sees it.
-    pub fn tokens(&self, now: Time, parts: &[Part], engines: usize, gateways: usize) -> u64 {
+    pub fn common_tokens(&self, now: Time, parts: &[Part], engines: usize, gateways: usize) -> u64 {
         let least = COMMON_RATE * engines.max(1) as f64 / gateways.max(1) as f64;
         let common = |p: &&Part| self.parts.get(&p.id).is_some_and(|u| u.at(now) >= least);
         parts.iter().take_while(common).map(|p| u64::from(p.tokens)).sum()
--- a/core/src/gateway/fleet.rs
+++ b/core/src/gateway/fleet.rs
@@ -19,8 +19,8 @@
 use crate::time::Time;
 
 pub use self::choice::Claim;
-pub use self::choice::Need;
-pub use self::choice::Use;
+pub use self::choice::Criteria;
+pub use self::choice::Requirements;
 pub use self::list::Changes;
 use self::replica::FIRST_REST;
 pub use self::replica::Listing;
--- a/core/src/gateway/fleet/choice.rs
+++ b/core/src/gateway/fleet/choice.rs
@@ -44,20 +44,20 @@
 
 /// What a call needs of a replica.
 #[derive(Clone, Copy, Debug)]
-pub struct Need<'a> {
+pub struct Requirements<'a> {
     /// Service by name.
     pub service: &'a str,
     /// Parts of the prompt; empty for plain services.
     pub parts: &'a [Part],
     /// How the call uses engines; `None` for plain services.
-    pub engine: Option<Use>,
+    pub engine: Option<Criteria>,
     /// Snapshots of owners; if there are any, the call goes to one of these engines.
     pub snapshots: &'a [Snapshot],
 }
 
 /// How a call uses engines.
 #[derive(Clone, Copy, Debug)]
-pub struct Use {
+pub struct Criteria {
     /// Calls that an engine works on at a time.
     pub slots: u32,
     /// The call is a stream that long prompts would disturb.
@@ -67,9 +67,9 @@
     /// Epoch of the plan that says so; 0 without one.
     pub epoch: u32,
     /// No call of the service ranks below it, so it waits behind all others in an engine.
-    pub last: bool,
+    pub lowest_rank: bool,
     /// Tokens at the head of the prompt that every engine has cached.
-    pub common: u64,
+    pub common_tokens: u64,
     /// Longest pause of its stream that is on time.
     pub pause: Span,
     /// Time to its first event that is on time, in milliseconds.
@@ -84,7 +84,7 @@
     /// The replica.
     pub replica: Key<Replica>,
     /// Its run.
-    pub run: Digest,
+    pub incarnation: Digest,
     /// What there is to read of the prompt; see [`prefill::work`].
     pub work: f64,
     /// Time to read the prompt, in milliseconds.
@@ -127,16 +127,17 @@
     pub fn choose(
         &self,
         now: Time,
-        need: &Need<'_>,
+        requirements: &Requirements<'_>,
         domain: &str,
         tried: &[Key<Replica>],
     ) -> Option<Claim> {
-        let inside = self.best(now, need, domain, tried, Side::Own);
-        let suits = |u: Use| inside.as_ref().is_some_and(|(_, claim)| suits(&u, claim));
-        if !may_cross(need) || need.engine.is_some_and(suits) {
+        let inside = self.best(now, requirements, domain, tried, Side::Own);
+        let suits =
+            |criteria: Criteria| inside.as_ref().is_some_and(|(_, claim)| suits(&criteria, claim));
+        if !may_cross(requirements) || requirements.engine.is_some_and(suits) {
             return inside.map(|(_, claim)| claim);
         }
-        let outside = self.best(now, need, domain, tried, Side::Other);
+        let outside = self.best(now, requirements, domain, tried, Side::Other);
         let all = inside.into_iter().chain(outside);
         all.min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, claim)| claim)
     }
@@ -144,17 +145,18 @@
     fn best(
         &self,
         now: Time,
-        need: &Need<'_>,
+        requirements: &Requirements<'_>,
         domain: &str,
         tried: &[Key<Replica>],
         side: Side,
     ) -> Option<(f64, Claim)> {
-        let candidates = self.candidates(now, need, tried, side);
-        let engine = need.engine.map(|u| match side {
-            Side::Own => u,
-            Side::Other => Use { pool_size: 0, ..u },
+        let candidates = self.candidates(now, requirements, tried, side);
+        let engine = requirements.engine.map(|criteria| match side {
+            Side::Own => criteria,
+            Side::Other => Criteria { pool_size: 0, ..criteria },
         });
-        let scored = self.score(now, &Need { engine, ..*need }, domain, &candidates);
+        let scored =
+            self.score(now, &Requirements { engine, ..*requirements }, domain, &candidates);
         scored.into_iter().min_by(|a, b| a.0.total_cmp(&b.0))
     }
 
@@ -163,16 +165,16 @@
     pub fn candidates_to_query(
         &self,
         now: Time,
-        need: &Need<'_>,
+        requirements: &Requirements<'_>,
         domain: &str,
         tried: &[Key<Replica>],
     ) -> Vec<Digest> {
-        let candidates = self.candidates(now, need, tried, Side::Own);
-        let mut scored = self.score(now, need, domain, &candidates);
+        let candidates = self.candidates(now, requirements, tried, Side::Own);
+        let mut scored = self.score(now, requirements, domain, &candidates);
         scored.sort_by(|a, b| a.0.total_cmp(&b.0));
         scored.truncate(ASKED.max(HOMES));
-        if may_cross(need) {
-            scored.extend(self.best(now, need, domain, tried, Side::Other));
+        if may_cross(requirements) {
+            scored.extend(self.best(now, requirements, domain, tried, Side::Other));
         }
         let claims = scored.iter().filter_map(|(_, claim)| self.get(claim.replica));
         claims.map(Replica::digest).collect()
@@ -181,19 +183,19 @@
     fn candidates(
         &self,
         now: Time,
-        need: &Need<'_>,
+        requirements: &Requirements<'_>,
         tried: &[Key<Replica>],
         side: Side,
     ) -> Vec<(Key<Replica>, &Replica)> {
-        let keys = self.by_service.get(need.service).into_iter().flatten();
+        let keys = self.by_service.get(requirements.service).into_iter().flatten();
         let open: Vec<(Key<Replica>, &Replica)> = keys
             .filter_map(|k| self.replicas.get(*k).map(|r| (*k, r)))
             .filter(|(_, r)| !r.closed)
             .collect();
         let mut usable: Vec<(Key<Replica>, &Replica)> =
             open.iter().filter(|(_, r)| r.is_usable(now)).copied().collect();
-        if let Some(u) = need.engine {
-            usable = of_lane(&open, usable, &u, side);
+        if let Some(criteria) = requirements.engine {
+            usable = of_lane(&open, usable, &criteria, side);
         }
         usable.retain(|(key, _)| !tried.contains(key));
         // With nothing usable, the one that rested longest may be back.
@@ -209,38 +211,49 @@
     fn score(
         &self,
         now: Time,
-        need: &Need<'_>,
+        requirements: &Requirements<'_>,
         domain: &str,
         candidates: &[(Key<Replica>, &Replica)],
     ) -> Vec<(f64, Claim)> {
         let least_failing =
             candidates.iter().map(|(_, r)| r.failures).fold(f64::INFINITY, f64::min);
-        let homes = homes(need.parts, candidates);
-        let service = directory::short(need.service);
-        let at_home = need.engine.is_some_and(|u| own_shared(need.parts, &u) >= LONG_SHARED);
+        let homes = homes(requirements.parts, candidates);
+        let service = directory::short(requirements.service);
+        let at_home = requirements
+            .engine
+            .is_some_and(|criteria| own_shared(requirements.parts, &criteria) >= LONG_SHARED);
         let eligible = candidates.iter().filter(|(key, _)| !at_home || homes.contains(key));
-        let snapshot =
-            |r: &Replica| need.snapshots.iter().find(|s| s.engine == r.digest() && s.is_valid());
+        let snapshot = |r: &Replica| {
+            requirements.snapshots.iter().find(|s| s.engine == r.digest() && s.is_valid())
+        };
         let any = eligible.clone().any(|(_, r)| snapshot(r).is_some());
         let eligible = eligible.filter(|(_, r)| !any || snapshot(r).is_some());
         let scored = eligible.map(|(key, replica)| {
             let snapshot = snapshot(replica);
-            let (work, expected_ms) = match need.engine {
-                Some(u) => engine_ms(now, need, &u, replica, Home::of(&homes, *key), snapshot),
+            let (work, expected_ms) = match requirements.engine {
+                Some(criteria) => engine_ms(
+                    now,
+                    requirements,
+                    &criteria,
+                    replica,
+                    Home::of(&homes, *key),
+                    snapshot,
+                ),
                 None => (0.0, plain_ms(now, replica)),
             };
-            let prefill_ms = need.engine.map_or(0.0, |u| u.prefill.prefill_ms(work));
+            let prefill_ms =
+                requirements.engine.map_or(0.0, |criteria| criteria.prefill.prefill_ms(work));
             let load = snapshot.map_or(replica.running(now), |s| f64::from(s.calls));
-            let reading_others = match need.engine {
-                Some(u) => READING_OTHERS * prefill_ms * load.min(f64::from(u.slots)),
+            let reading_others = match requirements.engine {
+                Some(criteria) => READING_OTHERS * prefill_ms * load.min(f64::from(criteria.slots)),
                 None => 0.0,
             };
             let foreign = if replica.listing.domain == domain { 0.0 } else { FOREIGN_MS };
             let failing = FAILURE_MS * (replica.failures - least_failing);
-            let sensitive = need.engine.is_some_and(|u| u.sensitive);
+            let sensitive = requirements.engine.is_some_and(|criteria| criteria.sensitive);
             let claim = Claim {
                 replica: *key,
-                run: replica.digest(),
+                incarnation: replica.digest(),
                 work,
                 prefill_ms,
                 expected_ms,
@@ -248,15 +261,15 @@
                 waiting: replica.waiting(now),
                 report_age: replica.report.map(|r| now.since(r.at)),
                 home: homes[0] == *key,
-                pool_size: need.engine.map_or(0, |u| u.pool_size),
-                epoch: need.engine.map_or(0, |u| u.epoch),
+                pool_size: requirements.engine.map_or(0, |criteria| criteria.pool_size),
+                epoch: requirements.engine.map_or(0, |criteria| criteria.epoch),
                 from_snapshot: snapshot.is_some(),
                 service,
                 call: 0,
                 sent: now,
                 first_event_seen: false,
                 prefill_sample: snapshot.is_some_and(|s| s.pending_prefill_ms <= 0.0),
-                pause: need.engine.map_or(Span(0), |u| u.pause),
+                pause: requirements.engine.map_or(Span(0), |criteria| criteria.pause),
                 last_event: now,
                 sensitive,
             };
@@ -271,18 +284,18 @@
 fn of_lane<'a>(
     open: &[(Key<Replica>, &'a Replica)],
     usable: Vec<(Key<Replica>, &'a Replica)>,
-    u: &Use,
+    criteria: &Criteria,
     side: Side,
 ) -> Vec<(Key<Replica>, &'a Replica)> {
-    if u.pool_size == 0 || u.pool_size >= usable.len() {
+    if criteria.pool_size == 0 || criteria.pool_size >= usable.len() {
         return usable;
     }
     // Which engines are listed all gateways know alike; which of them one could not reach a moment
     // ago is its own affair, and must not move the bounds of the lane.
     let mut hashes: Vec<u64> = open.iter().map(|(_, r)| r.hash).collect();
-    let (_, last, _) = hashes.select_nth_unstable(u.pool_size - 1);
+    let (_, last, _) = hashes.select_nth_unstable(criteria.pool_size - 1);
     let in_lane = |r: &Replica| r.hash <= *last;
-    let wanted = u.sensitive == (side == Side::Own);
+    let wanted = criteria.sensitive == (side == Side::Own);
     let there: Vec<_> = usable.iter().filter(|(_, r)| in_lane(r) == wanted).copied().collect();
     if there.is_empty() { usable } else { there }
 }
@@ -298,8 +311,8 @@
 
 /// Whether a call may be sent to the other side of the lane's end where its own has no room. Calls that
 /// rank last are the long prompts that the lane is kept from.
-fn may_cross(need: &Need<'_>) -> bool {
-    need.engine.is_some_and(|u| !u.last && u.pool_size > 0)
+fn may_cross(requirements: &Requirements<'_>) -> bool {
+    requirements.engine.is_some_and(|criteria| !criteria.lowest_rank && criteria.pool_size > 0)
 }
 
 /// Whether a call is well off on its own side.
@@ -310,16 +323,17 @@
 /// below it, whose prompt would be read again; the lane may have one. Free to choose, such calls took
 /// the lane for its short queues, and the streams there paused: on a day of high load 41 in 100
 /// questions were late, against 31.
-fn suits(u: &Use, claim: &Claim) -> bool {
-    let stops_another = !u.sensitive && claim.from_snapshot && claim.load >= f64::from(u.slots);
-    claim.expected_ms <= u.objective_ms && !stops_another
+fn suits(criteria: &Criteria, claim: &Claim) -> bool {
+    let stops_another =
+        !criteria.sensitive && claim.from_snapshot && claim.load >= f64::from(criteria.slots);
+    claim.expected_ms <= criteria.objective_ms && !stops_another
 }
 
 /// Tokens of a prompt's shared head that not every engine has cached.
-fn own_shared(parts: &[Part], u: &Use) -> u64 {
+fn own_shared(parts: &[Part], criteria: &Criteria) -> u64 {
     let head = &parts[..parts.len().saturating_sub(1)];
     let shared: u64 = head.iter().map(|p| u64::from(p.tokens)).sum();
-    shared.saturating_sub(u.common)
+    shared.saturating_sub(criteria.common_tokens)
 }
 
 /// How near a replica is to a prompt's shared head.
@@ -362,44 +376,45 @@
 /// What there is to read of the prompt, and expected time to the first event in milliseconds.
 fn engine_ms(
     now: Time,
-    need: &Need<'_>,
-    u: &Use,
+    requirements: &Requirements<'_>,
+    criteria: &Criteria,
     replica: &Replica,
     home: Home,
     snapshot: Option<&Snapshot>,
 ) -> (f64, f64) {
-    let total: u64 = need.parts.iter().map(|p| u64::from(p.tokens)).sum();
-    let shared = total - need.parts.last().map_or(0, |p| u64::from(p.tokens));
-    let known = replica.cache.cached_tokens(now, need.parts).max(u.common);
+    let total: u64 = requirements.parts.iter().map(|p| u64::from(p.tokens)).sum();
+    let shared = total - requirements.parts.last().map_or(0, |p| u64::from(p.tokens));
+    let known = replica.cache.cached_tokens(now, requirements.parts).max(criteria.common_tokens);
     let cached = match home {
         Home::First => known.max(shared),
-        Home::Second => {
-            known.max(u.common + ((shared - u.common.min(shared)) as f64 * AT_SECOND) as u64)
-        }
+        Home::Second => known.max(
+            criteria.common_tokens
+                + ((shared - criteria.common_tokens.min(shared)) as f64 * AT_SECOND) as u64,
+        ),
         Home::None => known,
     };
     let work = prefill::work(cached, total.saturating_sub(cached));
-    let reading = u.prefill.prefill_ms(work);
+    let reading = criteria.prefill.prefill_ms(work);
     if let Some(snapshot) = snapshot {
-        return (work, kept_ms(u, reading, snapshot));
+        return (work, kept_ms(criteria, reading, snapshot));
     }
     let running = replica.running(now);
-    let over = (running - f64::from(u.slots)).max(0.0);
+    let over = (running - f64::from(criteria.slots)).max(0.0);
     let waiting = replica.waiting(now).max(over);
-    let ahead = if u.last { waiting } else { waiting * AHEAD_OF_URGENT };
+    let ahead = if criteria.lowest_rank { waiting } else { waiting * AHEAD_OF_URGENT };
     let queue = replica.prefill_ms + WAITING_MS * ahead;
-    let beside = if u.last { RUNNING_LAST_MS } else { RUNNING_MS };
+    let beside = if criteria.lowest_rank { RUNNING_LAST_MS } else { RUNNING_MS };
     (work, reading + queue + beside * running)
 }
 
 /// Expected time to the first event by an owner's snapshot, in milliseconds: until all prompts there
 /// are read, or enough calls have ended, whichever is later.
-fn kept_ms(u: &Use, prefill_ms: f64, snapshot: &Snapshot) -> f64 {
-    let ahead = if u.last { 1.0 } else { AHEAD_OF_URGENT };
+fn kept_ms(criteria: &Criteria, prefill_ms: f64, snapshot: &Snapshot) -> f64 {
+    let ahead = if criteria.lowest_rank { 1.0 } else { AHEAD_OF_URGENT };
     // Most calls in the lane are as urgent as this one, which passes none of them.
-    let among_equals = u.sensitive && u.pool_size > 0;
+    let among_equals = criteria.sensitive && criteria.pool_size > 0;
     let behind = if among_equals { 1.0 } else { ahead };
-    let over = (f64::from(snapshot.calls) + 1.0 - f64::from(u.slots)).max(0.0);
+    let over = (f64::from(snapshot.calls) + 1.0 - f64::from(criteria.slots)).max(0.0);
     let place = over * f64::from(snapshot.interval_ms);
     (behind * place).max(ahead * f64::from(snapshot.pending_prefill_ms)) + prefill_ms
 }
--- a/core/src/gateway/plan.rs
+++ b/core/src/gateway/plan.rs
@@ -79,11 +79,11 @@
 
 /// The plans that a gateway goes by.
 #[derive(Debug, Default)]
-pub struct Board {
+pub struct Table {
     plans: BTreeMap<u32, (Plan, Time)>,
 }
 
-impl Board {
+impl Table {
     /// The plan of a service.
     pub fn get(&self, service: u32) -> Option<&Plan> {
         self.plans.get(&service).map(|(plan, _)| plan)
@@ -141,7 +141,7 @@
 
 /// What there is to decide about.
 #[derive(Clone, Copy, Debug)]
-pub struct Subject<'a> {
+pub struct Input<'a> {
     /// Short hash of the service's name.
     pub service: u32,
     /// Its engines.
@@ -195,13 +195,13 @@
         &mut self,
         now: Time,
         by: u32,
-        subject: &Subject<'_>,
+        input: &Input<'_>,
         reach: impl Fn(usize) -> usize,
     ) -> Option<Plan> {
         if now.since(self.since?) < SETTLED {
             return None;
         }
-        let Subject { service, engine, engines, known } = *subject;
+        let Input { service, engine, engines, known } = *input;
         let heard = self.services.get_mut(&service)?;
         let isolated_pauses_ms = heard.isolated_pauses_ms(engine, known);
         let streams = heard.streams(now, &isolated_pauses_ms);
--- a/core/src/gateway/prefill.rs
+++ b/core/src/gateway/prefill.rs
@@ -119,7 +119,7 @@
     }
 
     /// Notes that the first event of a call that found nothing unread came after `took_ms`.
-    pub fn learn(&mut self, work: f64, took_ms: f64) {
+    pub fn record(&mut self, work: f64, took_ms: f64) {
         if !TELLING.contains(&work) || !took_ms.is_finite() {
             return;
         }
--- a/core/src/gateway/state.rs
+++ b/core/src/gateway/state.rs
@@ -25,22 +25,22 @@
 use super::directory::Directory;
 use super::directory::Entry;
 use super::directory::Heartbeat;
-use super::engine::Common;
+use super::engine::Popularity;
 use super::fingerprint::Fingerprint;
 use super::fleet::Claim;
+use super::fleet::Criteria;
 use super::fleet::Fleet;
-use super::fleet::Need;
 use super::fleet::Replica;
-use super::fleet::Use;
+use super::fleet::Requirements;
 use super::freshness::Freshness;
 use super::gossip::Demand;
 use super::model::Model;
 use super::occupancy::Occupancy;
 use super::occupancy::Snapshot;
 use super::outage::Outage;
-use super::plan::Board;
 use super::plan::Comparison;
 use super::plan::Planner;
+use super::plan::Table;
 use super::prefill;
 use super::quarantine::Quarantine;
 use super::refusal::Reason;
@@ -144,10 +144,10 @@
     directory: Directory,
     budgets: BTreeMap<String, Budget>,
     models: BTreeMap<String, Model>,
-    plans: Board,
+    plans: Table,
     planner: Planner,
     tallies: BTreeMap<u32, Tally>,
-    common: Common,
+    popularity: Popularity,
     quarantine: Quarantine,
     occupancy: Occupancy,
     tidied: Time,
@@ -170,10 +170,10 @@
             directory: Directory::default(),
             budgets: BTreeMap::new(),
             models: BTreeMap::new(),
-            plans: Board::default(),
+            plans: Table::default(),
             planner: Planner::default(),
             tallies: BTreeMap::new(),
-            common: Common::default(),
+            popularity: Popularity::default(),
             quarantine: Quarantine::default(),
             occupancy: Occupancy::default(),
             tidied: now,
@@ -404,7 +404,7 @@
             true => 1.0,
             false => self.rng.random_range(DITHER_FROM..DITHER_TO),
         };
-        let longest = engine.map(|u| longest_wait_ms(&grant.route, u.last));
+        let longest = engine.map(|u| longest_wait_ms(&grant.route, u.lowest_rank));
         // A call that may have run is not refused for load, as the refusal could not say that it has not.
         let first = grant.attempts == 0;
         if first && longest.is_some_and(|longest| claim.expected_ms * dither > longest) {
@@ -413,20 +413,20 @@
         Ok(pick)
     }
 
-    fn engine_use(&mut self, now: Time, ask: &Ask, grant: &Grant, engine: &Engine) -> Use {
+    fn engine_use(&mut self, now: Time, ask: &Ask, grant: &Grant, engine: &Engine) -> Criteria {
         let engines = self.fleet.usable(now, &grant.service);
         let (sensitive, lane) = self.lane_of(now, grant, engine, engines);
         let epoch = self.plan(&grant.service).map_or(0, |plan| plan.epoch);
         let last = self.config.as_ref().is_some_and(|c| c.ranks_last(&grant.route, &grant.service));
         let gateways = self.directory.sharers();
         let model = self.models.entry(grant.service.clone()).or_default();
-        Use {
+        Criteria {
             slots: engine.slots,
             sensitive,
             pool_size: lane,
             epoch,
-            last,
-            common: self.common.tokens(now, &ask.parts, engines, gateways),
+            lowest_rank: last,
+            common_tokens: self.popularity.common_tokens(now, &ask.parts, engines, gateways),
             pause: grant.route.pause,
             objective_ms: grant.route.objective.as_secs_f64() * 1e3,
             prefill: model.prefill,
@@ -504,10 +504,10 @@
 fn need<'a>(
     ask: &'a Ask,
     grant: &'a Grant,
-    engine: Option<Use>,
+    engine: Option<Criteria>,
     snapshots: &'a [Snapshot],
-) -> Need<'a> {
-    Need { service: &grant.service, parts: &ask.parts, engine, snapshots }
+) -> Requirements<'a> {
+    Requirements { service: &grant.service, parts: &ask.parts, engine, snapshots }
 }
 
 /// Longest expected wait for a first event with which a call is sent on, in milliseconds: beyond
--- a/core/src/gateway/state/attempts.rs
+++ b/core/src/gateway/state/attempts.rs
@@ -22,7 +22,7 @@
         if let Some(tally) = self.tally(&pick.claim) {
             tally.record_start(pick.claim.pause);
         }
-        self.common.record(now, &ask.parts);
+        self.popularity.record(now, &ask.parts);
     }
 
     /// Notes that something came from a replica.
@@ -56,7 +56,7 @@
             let model = model(&mut self.models, service);
             model.record_first_event(claim.pause);
             if claim.prefill_sample {
-                model.prefill.learn(claim.work, now.since(claim.sent).as_secs_f64() * 1e3);
+                model.prefill.record(claim.work, now.since(claim.sent).as_secs_f64() * 1e3);
             }
             if let Some(tally) = self.tally(claim) {
                 tally.record_first_event(claim.pause);
--- a/core/src/gateway/state/plans.rs
+++ b/core/src/gateway/state/plans.rs
@@ -5,8 +5,8 @@
 use crate::gateway::config::Engine;
 use crate::gateway::directory;
 use crate::gateway::plan::Comparison;
+use crate::gateway::plan::Input;
 use crate::gateway::plan::Plan;
-use crate::gateway::plan::Subject;
 use crate::gateway::tally::Report;
 use crate::time::Span;
 use crate::time::Time;
@@ -65,7 +65,7 @@
                 continue;
             };
             let short = directory::short(&service.name);
-            let subject = Subject {
+            let subject = Input {
                 service: short,
                 engine: &engine,
                 engines: self.fleet.usable(now, &service.name),
--- a/core/src/gateway/state/poison.rs
+++ b/core/src/gateway/state/poison.rs
@@ -19,7 +19,7 @@
     /// Records that the connection broke on which a replica ran a request.
     pub fn broke(&mut self, now: Time, grant: &Grant, claim: &Claim) {
         if let Some(fingerprint) = grant.fingerprint {
-            self.quarantine.record_crash(now, fingerprint, claim.run);
+            self.quarantine.record_crash(now, fingerprint, claim.incarnation);
         }
     }
 
--- a/core/tests/gateway/plan.rs
+++ b/core/tests/gateway/plan.rs
@@ -3,11 +3,11 @@
 use std::collections::BTreeSet;
 
 use laburnumwheel_core::gateway::config::Engine;
-use laburnumwheel_core::gateway::plan::Board;
 use laburnumwheel_core::gateway::plan::Comparison;
+use laburnumwheel_core::gateway::plan::Input;
 use laburnumwheel_core::gateway::plan::Plan;
 use laburnumwheel_core::gateway::plan::Planner;
-use laburnumwheel_core::gateway::plan::Subject;
+use laburnumwheel_core::gateway::plan::Table;
 use laburnumwheel_core::gateway::tally::Report;
 use laburnumwheel_core::gateway::tally::Stream;
 use laburnumwheel_core::gateway::tally::Sums;
@@ -49,8 +49,8 @@
 }
 
 fn decide(planner: &mut Planner, now: Time, known: Option<&Plan>) -> Option<Plan> {
-    let subject = Subject { service: SERVICE, engine: &ENGINE, engines: ENGINES, known };
-    planner.decide(now, 1, &subject, |wanted| wanted)
+    let input = Input { service: SERVICE, engine: &ENGINE, engines: ENGINES, known };
+    planner.decide(now, 1, &input, |wanted| wanted)
 }
 
 fn plan(epoch: u32, by: u32) -> Plan {
@@ -111,10 +111,10 @@
     let mut planner = planner();
     (0..200).for_each(|gateway| planner.merge(START, &report(gateway, 1)));
     let now = START + SETTLED;
-    let subject = |known| Subject { service: SERVICE, engine: &ENGINE, engines: ENGINES, known };
-    let longer = planner.decide(now, 1, &subject(None), |wanted| wanted + 1).unwrap();
+    let input = |known| Input { service: SERVICE, engine: &ENGINE, engines: ENGINES, known };
+    let longer = planner.decide(now, 1, &input(None), |wanted| wanted + 1).unwrap();
 
-    let again = planner.decide(now, 1, &subject(Some(&longer)), |wanted| wanted);
+    let again = planner.decide(now, 1, &input(Some(&longer)), |wanted| wanted);
 
     assert_eq!(again, None);
 }
@@ -126,11 +126,11 @@
     let mut all = [plan(3, 1), plan(4, 1), plan(4, 2), plan(2, 9)];
     let mut held = BTreeSet::new();
     for _ in 0..all.len() {
-        let mut board = Board::default();
+        let mut table = Table::default();
         for plan in &all {
-            board.receive(START, plan);
+            table.receive(START, plan);
         }
-        held.insert(board.get(SERVICE).map(|plan| (plan.epoch, plan.by)));
+        held.insert(table.get(SERVICE).map(|plan| (plan.epoch, plan.by)));
         all.rotate_left(1);
     }
 
@@ -139,13 +139,13 @@
 
 #[test]
 fn a_plan_is_passed_on_with_its_age() {
-    let mut board = Board::default();
-    let heard = board.receive(START, &Plan { age_ms: 300, ..plan(1, 1) });
+    let mut table = Table::default();
+    let heard = table.receive(START, &Plan { age_ms: 300, ..plan(1, 1) });
 
-    let told = board.gossip(START + Span::millis(200));
+    let told = table.gossip(START + Span::millis(200));
 
     assert_eq!(heard, Some(Comparison::Newer));
-    assert_eq!(board.receive(START, &told[0]), Some(Comparison::Same));
+    assert_eq!(table.receive(START, &told[0]), Some(Comparison::Same));
     assert_eq!(told[0].age_ms, 500);
 }
 
--- a/core/tests/gateway/prefill.rs
+++ b/core/tests/gateway/prefill.rs
@@ -11,7 +11,7 @@
     let mut estimator = Estimator::default();
     for call in 0..calls {
         let work = prefill::work(0, 1_000 + call % 7 * 800);
-        estimator.learn(work, 15.0 + token_ms * work);
+        estimator.record(work, 15.0 + token_ms * work);
     }
     estimator
 }
@@ -38,7 +38,7 @@
 
     for call in 0..400 {
         let work = prefill::work(0, 1_000 + call % 7 * 800);
-        estimator.learn(work, 15.0 + 0.018 * work);
+        estimator.record(work, 15.0 + 0.018 * work);
     }
 
     assert!(is_near(&estimator, 0.018), "{}", estimator.token_ms());
@@ -53,7 +53,7 @@
     for call in 0..500 {
         let work = prefill::work(0, 1_000 + call % 7 * 800);
         let times = if call % 20 == 3 { 10.0 } else { 1.0 };
-        estimator.learn(work, times * (15.0 + 0.016 * work));
+        estimator.record(work, times * (15.0 + 0.016 * work));
     }
 
     assert!(is_near(&estimator, 0.016), "{}", estimator.token_ms());
@@ -80,7 +80,7 @@
                           told in prop::collection::vec((any::<f32>(), any::<f32>()), 0..20)) {
         let mut estimator = Estimator::default();
 
-        seen.into_iter().for_each(|(work, took)| estimator.learn(work, took));
+        seen.into_iter().for_each(|(work, took)| estimator.record(work, took));
         for (token_ms, weight) in told {
             estimator.receive(&prefill::Estimate { service: 1, token_ms, weight });
         }
