--- a/gateway/src/attempt.rs
+++ b/gateway/src/attempt.rs
@@ -225,7 +225,7 @@
             self.shared.gateway.borrow().may_begin(now, &self.grant).map_err(Failure::Denied)?;
         }
         let queries = self.shared.gateway.borrow_mut().queries(now, &self.ask, &self.grant);
-        let snapshots = peers::snapshots(&self.shared, queries).await;
+        let snapshots = peers::request_snapshots(&self.shared, queries).await;
         let mut pick = self.pick(&snapshots).map_err(Failure::Denied)?;
         let channel = self.connect(&pick).await?;
         self.confirm(&pick)?;
--- a/gateway/src/duty/delivery.rs
+++ b/gateway/src/duty/delivery.rs
@@ -60,7 +60,7 @@
     }
     for (address, batches) in messages.into_iter().filter(|(_, batches)| !batches.is_empty()) {
         if let Ok(address) = address.parse::<SocketAddr>() {
-            peers::post(&shared.socket, address, &Message::Usage(own, batches)).await;
+            peers::send(&shared.socket, address, &Message::Usage(own, batches)).await;
         }
     }
 }
--- a/gateway/src/gateway.rs
+++ b/gateway/src/gateway.rs
@@ -145,7 +145,7 @@
             views: RefCell::default(),
             deltas: RefCell::default(),
             flaws: RefCell::default(),
-            questions: RefCell::default(),
+            pending: RefCell::default(),
             lease: Cell::new(None),
             connections: Cell::new(0),
             connections_closing: Notify::new(),
@@ -172,9 +172,9 @@
         let entry_task =
             store::maintain_entry(shared.clone(), entry, eras.clone(), announce, renew);
         spawn(Box::pin(entry_task));
-        spawn(Box::pin(peers::beat(shared.clone())));
-        spawn(Box::pin(peers::hear(shared.clone())));
-        spawn(Box::pin(peers::report(shared.clone())));
+        spawn(Box::pin(peers::send_heartbeats(shared.clone())));
+        spawn(Box::pin(peers::receive(shared.clone())));
+        spawn(Box::pin(peers::send_reports(shared.clone())));
         spawn(Box::pin(peers::notify_owners(shared.clone())));
         spawn(Box::pin(duty::run_election(shared.clone(), eras)));
         spawn(Box::pin(duty::deliver_usage(shared.clone())));
@@ -248,9 +248,9 @@
         shared.gateway.borrow_mut().stop(began, learned, end);
         shared.log(Line::new("stopping").with("calls", shared.calls.get()));
         duty::stop(&shared);
-        peers::send(&shared).await;
+        peers::send_heartbeat(&shared).await;
         store::withdraw(&shared, self.withdraw).await;
-        peers::send(&shared).await;
+        peers::send_heartbeat(&shared).await;
         loop {
             tokio::time::sleep(LOOK).await;
             let past = clock::duration(clock::now().since(began));
--- a/gateway/src/peers.rs
+++ b/gateway/src/peers.rs
@@ -46,11 +46,11 @@
     /// The sender lives.
     Heartbeat(Box<Heartbeat>),
     /// Has anything changed?
-    Question(u64),
+    ProofRequest(u64),
     /// What the sender knows.
     Proof(Proof),
     /// How are these engines, which you keep?
-    Query(u64, Vec<Digest>),
+    SnapshotRequest(u64, Vec<Digest>),
     /// How they are.
     Snapshots(u64, Vec<Snapshot>),
     /// What happened at engines that you keep.
@@ -93,7 +93,7 @@
 
 /// Answers that are waited for, by question.
 #[derive(Debug, Default)]
-pub struct Questions {
+pub struct Pending {
     proofs: BTreeMap<u64, oneshot::Sender<Proof>>,
     snapshots: BTreeMap<u64, oneshot::Sender<Vec<Snapshot>>>,
 }
@@ -102,32 +102,32 @@
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct Proof {
     /// The question.
-    pub question: u64,
+    pub request: u64,
     /// Digest of everything that the store held.
     pub digest: view::Digest,
     /// Age of the read that saw it, in microseconds.
-    pub age: u64,
+    pub age_us: u64,
 }
 
 /// Asks the gateway at `address`, for as long as an answer takes that is worth waiting for.
-pub async fn ask(shared: &Shared, address: SocketAddr) -> Option<Proof> {
+pub async fn request_proof(shared: &Shared, address: SocketAddr) -> Option<Proof> {
     let socket = &shared.socket;
-    let question = shared.rng.borrow_mut().random();
+    let request = shared.rng.borrow_mut().random();
     let (sender, answer) = oneshot::channel();
-    shared.questions.borrow_mut().proofs.insert(question, sender);
-    let sent = post(socket, address, &Message::Question(question)).await;
+    shared.pending.borrow_mut().proofs.insert(request, sender);
+    let sent = send(socket, address, &Message::ProofRequest(request)).await;
     let answer = match sent {
         true => tokio::time::timeout(ANSWER, answer).await.ok().and_then(Result::ok),
         false => None,
     };
-    shared.questions.borrow_mut().proofs.remove(&question);
+    shared.pending.borrow_mut().proofs.remove(&request);
     answer
 }
 
 /// Queries the owners of engines, by address.
 ///
 /// An answer that takes longer than it is worth is done without.
-pub async fn snapshots(
+pub async fn request_snapshots(
     shared: &Shared,
     queries: BTreeMap<Option<String>, Vec<Digest>>,
 ) -> Vec<Snapshot> {
@@ -143,15 +143,15 @@
     let Ok(address) = owner.parse() else {
         return Vec::new();
     };
-    let question = shared.rng.borrow_mut().random();
+    let request = shared.rng.borrow_mut().random();
     let (sender, answer) = oneshot::channel();
-    shared.questions.borrow_mut().snapshots.insert(question, sender);
-    let message = Message::Query(question, engines.to_vec());
-    let answer = match post(&shared.socket, address, &message).await {
+    shared.pending.borrow_mut().snapshots.insert(request, sender);
+    let message = Message::SnapshotRequest(request, engines.to_vec());
+    let answer = match send(&shared.socket, address, &message).await {
         true => tokio::time::timeout(STANDING, answer).await.ok().and_then(Result::ok),
         false => None,
     };
-    shared.questions.borrow_mut().snapshots.remove(&question);
+    shared.pending.borrow_mut().snapshots.remove(&request);
     let heard = if answer.is_some() { "answered" } else { "missed" };
     shared.metrics.count("owner_queries_total", format!("outcome=\"{heard}\""));
     answer.unwrap_or_default()
@@ -164,39 +164,39 @@
         let told = shared.gateway.borrow_mut().drain_updates(clock::now());
         for (owner, updates) in told {
             if let Ok(address) = owner.parse::<SocketAddr>() {
-                post(&shared.socket, address, &Message::Updates(updates)).await;
+                send(&shared.socket, address, &Message::Updates(updates)).await;
             }
         }
     }
 }
 
 /// Sends a message; datagrams may be lost, so senders send more, or fall back.
-pub async fn post(socket: &UdpSocket, address: SocketAddr, message: &Message) -> bool {
+pub async fn send(socket: &UdpSocket, address: SocketAddr, message: &Message) -> bool {
     match postcard::to_stdvec(message) {
         Ok(bytes) => socket.send_to(&bytes, address).await.is_ok(),
         Err(_) => false,
     }
 }
 
-async fn reply(shared: &Shared, from: SocketAddr, question: u64) {
+async fn reply(shared: &Shared, from: SocketAddr, request: u64) {
     let age = shared.gateway.borrow().proof_age(clock::now());
     let digest = shared.views.borrow().newest().map(|known| known.digest);
     if let (Some(age), Some(digest)) = (age, digest) {
-        let proof = Proof { question, digest, age: age.0 };
-        post(&shared.socket, from, &Message::Proof(proof)).await;
+        let proof = Proof { request, digest, age_us: age.0 };
+        send(&shared.socket, from, &Message::Proof(proof)).await;
     }
 }
 
 /// Sends heartbeats for ever.
-pub async fn beat(shared: Shared) {
+pub async fn send_heartbeats(shared: Shared) {
     loop {
-        send(&shared).await;
+        send_heartbeat(&shared).await;
         tokio::time::sleep(PERIOD).await;
     }
 }
 
 /// Sends one heartbeat to some peers.
-pub async fn send(shared: &Shared) {
+pub async fn send_heartbeat(shared: &Shared) {
     let (heartbeat, mut peers) = {
         let gateway = shared.gateway.borrow();
         (gateway.heartbeat(clock::now()), gateway.peers())
@@ -233,7 +233,7 @@
 }
 
 /// Reevaluates the quarantine, and sends reports to the decider or decides, for ever.
-pub async fn report(shared: Shared) {
+pub async fn send_reports(shared: Shared) {
     loop {
         let period = shared.gateway.borrow().reporting_period();
         tokio::time::sleep(clock::duration(period)).await;
@@ -243,7 +243,7 @@
         if let Some((decider, report)) = report
             && let Ok(address) = decider.parse::<SocketAddr>()
         {
-            post(&shared.socket, address, &Message::Report(report)).await;
+            send(&shared.socket, address, &Message::Report(report)).await;
         }
     }
 }
@@ -259,7 +259,7 @@
 }
 
 /// Takes datagrams in for ever.
-pub async fn hear(shared: Shared) {
+pub async fn receive(shared: Shared) {
     let mut bytes = [0; LARGEST];
     loop {
         let (n, from) = match shared.socket.recv_from(&mut bytes).await {
@@ -284,21 +284,21 @@
                 let heard = shared.gateway.borrow_mut().receive(clock::now(), &heartbeat);
                 note_plans(&shared, &heard);
             }
-            Message::Question(question) => reply(&shared, from, question).await,
+            Message::ProofRequest(request) => reply(&shared, from, request).await,
             Message::Proof(proof) => {
-                let waiting = shared.questions.borrow_mut().proofs.remove(&proof.question);
+                let waiting = shared.pending.borrow_mut().proofs.remove(&proof.request);
                 if let Some(sender) = waiting {
                     // The caller may have given up.
                     let _ = sender.send(proof);
                 }
             }
-            Message::Query(question, engines) => {
+            Message::SnapshotRequest(request, engines) => {
                 let now = clock::now();
                 let snapshots = shared.gateway.borrow_mut().snapshots(now, &engines);
-                post(&shared.socket, from, &Message::Snapshots(question, snapshots)).await;
+                send(&shared.socket, from, &Message::Snapshots(request, snapshots)).await;
             }
-            Message::Snapshots(question, snapshots) => {
-                let waiting = shared.questions.borrow_mut().snapshots.remove(&question);
+            Message::Snapshots(request, snapshots) => {
+                let waiting = shared.pending.borrow_mut().snapshots.remove(&request);
                 if let Some(sender) = waiting {
                     // The caller may have given up.
                     let _ = sender.send(snapshots);
@@ -314,7 +314,7 @@
                 let acks = shared.duties.as_ref().map(|duties| duties.merge(sender, batches));
                 if let Some(acks) = acks.filter(|acks| !acks.is_empty()) {
                     let own = directory::short(shared.gateway.borrow().name());
-                    post(&shared.socket, from, &Message::UsageAck(own, acks)).await;
+                    send(&shared.socket, from, &Message::UsageAck(own, acks)).await;
                 }
             }
             Message::UsageAck(holder, ids) => {
--- a/gateway/src/shared.rs
+++ b/gateway/src/shared.rs
@@ -19,7 +19,7 @@
 use crate::log::Line;
 use crate::log::Log;
 use crate::metrics::Metrics;
-use crate::peers::Questions;
+use crate::peers::Pending;
 use crate::view::Deltas;
 
 /// State of the process.
@@ -39,7 +39,7 @@
     /// Flawed entries of the store that have been logged.
     pub flaws: RefCell<Tracker>,
     /// Questions to other gateways that wait for an answer.
-    pub questions: RefCell<Questions>,
+    pub pending: RefCell<Pending>,
     /// Datagrams between gateways.
     pub socket: UdpSocket,
     /// Wakes the task that sends updates to owners of engines.
--- a/gateway/src/store.rs
+++ b/gateway/src/store.rs
@@ -262,18 +262,18 @@
             continue;
         };
         let at = clock::now();
-        let Some(proof) = peers::ask(shared, address).await else {
+        let Some(proof) = peers::request_proof(shared, address).await else {
             shared.metrics.count("questions_total", "outcome=\"unanswered\"".to_owned());
             continue;
         };
-        if proof.age > OLDEST.0 {
+        if proof.age_us > OLDEST.0 {
             shared.metrics.count("questions_total", "outcome=\"too_old\"".to_owned());
             continue;
         }
         let digest = shared.views.borrow().newest().map(|known| known.digest);
         if digest == Some(proof.digest) {
             shared.metrics.count("questions_total", "outcome=\"same\"".to_owned());
-            let closed = shared.gateway.borrow_mut().confirm_view(at - Span(proof.age));
+            let closed = shared.gateway.borrow_mut().confirm_view(at - Span(proof.age_us));
             for id in closed {
                 shared.log(Line::new("replica_closed").with("replica", id).with("from", "proof"));
             }
