--- a/gateway/src/body.rs
+++ b/gateway/src/body.rs
@@ -14,41 +14,41 @@
 /// The answer can't be completed; the connection is closed so that it looks broken.
 #[derive(Clone, Copy, Debug, thiserror::Error)]
 #[error("the answer was broken off")]
-pub struct Broken;
+pub struct Aborted;
 
-type Parts = Pin<Box<dyn Stream<Item = Result<Bytes, Broken>>>>;
+type Parts = Pin<Box<dyn Stream<Item = Result<Bytes, Aborted>>>>;
 
 /// Body of an answer.
-pub enum Answer {
+pub enum Payload {
     /// Known whole.
-    Whole(Full<Bytes>),
+    Full(Full<Bytes>),
     /// Events as they come.
     Stream(Parts),
 }
 
-impl Answer {
+impl Payload {
     /// A body of known bytes.
-    pub fn whole(bytes: impl Into<Bytes>) -> Answer {
-        Answer::Whole(Full::new(bytes.into()))
+    pub fn full(bytes: impl Into<Bytes>) -> Payload {
+        Payload::Full(Full::new(bytes.into()))
     }
 
     /// A body that is pulled from `parts` as the caller reads.
-    pub fn stream(parts: impl Stream<Item = Result<Bytes, Broken>> + 'static) -> Answer {
-        Answer::Stream(Box::pin(parts))
+    pub fn stream(parts: impl Stream<Item = Result<Bytes, Aborted>> + 'static) -> Payload {
+        Payload::Stream(Box::pin(parts))
     }
 }
 
-impl Body for Answer {
+impl Body for Payload {
     type Data = Bytes;
-    type Error = Broken;
+    type Error = Aborted;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, Aborted>>> {
         match &mut *self {
-            Answer::Whole(full) => Pin::new(full).poll_frame(cx).map_err(|e| match e {}),
-            Answer::Stream(parts) => {
+            Payload::Full(full) => Pin::new(full).poll_frame(cx).map_err(|e| match e {}),
+            Payload::Stream(parts) => {
                 parts.as_mut().poll_next(cx).map(|part| part.map(|p| p.map(Frame::data)))
             }
         }
@@ -56,15 +56,15 @@
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Answer::Whole(full) => full.is_end_stream(),
-            Answer::Stream(_) => false,
+            Payload::Full(full) => full.is_end_stream(),
+            Payload::Stream(_) => false,
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Answer::Whole(full) => full.size_hint(),
-            Answer::Stream(_) => SizeHint::default(),
+            Payload::Full(full) => full.size_hint(),
+            Payload::Stream(_) => SizeHint::default(),
         }
     }
 }
--- a/gateway/src/call.rs
+++ b/gateway/src/call.rs
@@ -27,7 +27,7 @@
 use crate::attempt::Call;
 use crate::attempt::Failure;
 use crate::attempt::Fault;
-use crate::body::Answer;
+use crate::body::Payload;
 use crate::clock;
 use crate::log::Line;
 use crate::relay::Relay;
@@ -171,7 +171,7 @@
 pub async fn serve(
     shared: Shared,
     request: Request<Incoming>,
-) -> Result<Response<Answer>, Infallible> {
+) -> Result<Response<Payload>, Infallible> {
     let mut response = answer(&shared, request).await;
     if shared.gateway.borrow().is_stopping() {
         let close = HeaderValue::from_static("close");
@@ -180,7 +180,7 @@
     Ok(response)
 }
 
-async fn answer(shared: &Shared, request: Request<Incoming>) -> Response<Answer> {
+async fn answer(shared: &Shared, request: Request<Incoming>) -> Response<Payload> {
     let arrived = clock::now();
     let (head, body) = request.into_parts();
     let ask = match (shared.dialect.parse_call)(&head) {
@@ -228,13 +228,13 @@
 }
 
 /// Makes attempts until one brings an answer, or no further one is allowed.
-async fn run(mut call: Call, mut recorder: Recorder) -> Response<Answer> {
+async fn run(mut call: Call, mut recorder: Recorder) -> Response<Payload> {
     loop {
         let failure = match call.attempt(None).await {
             Ok(exchange) if call.grant.route.streams => match Relay::open(call, exchange, recorder)
                 .await
             {
-                Ok((head, relay)) => return answered(head, Answer::stream(relay.into_stream())),
+                Ok((head, relay)) => return answered(head, Payload::stream(relay.into_stream())),
                 Err((back, e, failure)) => {
                     call = back;
                     recorder = e;
@@ -248,7 +248,7 @@
                         call.meter(sent);
                         recorder.record_first_event(&call);
                         recorder.record_end(&call, "answered", whole.head.status.as_u16());
-                        return answered(whole.head, Answer::whole(whole.body));
+                        return answered(whole.head, Payload::full(whole.body));
                     }
                     Err(failure) => failure,
                 }
@@ -287,11 +287,11 @@
 /// The last answer of a call that got none of a replica.
 ///
 /// That it has not run is only said if no attempt can have run it.
-fn end(call: &Call, recorder: &Recorder, failure: Failure) -> Response<Answer> {
+fn end(call: &Call, recorder: &Recorder, failure: Failure) -> Response<Payload> {
     let refusal = match failure {
         Failure::Fault(Fault::Status, Some(whole)) => {
             recorder.record_end(call, "replica_failed", whole.head.status.as_u16());
-            return answered(whole.head, Answer::whole(whole.body));
+            return answered(whole.head, Payload::full(whole.body));
         }
         Failure::Fault(fault, _) if call.may_have_run => Refusal::unknown(match fault {
             Fault::TimedOut => Reason::TimedOut,
@@ -309,13 +309,18 @@
     finish(call, recorder, &refusal)
 }
 
-fn finish(call: &Call, recorder: &Recorder, refusal: &Refusal) -> Response<Answer> {
+fn finish(call: &Call, recorder: &Recorder, refusal: &Refusal) -> Response<Payload> {
     let outcome = refusal.reason.to_string();
     recorder.record_end(call, &outcome, status(refusal).as_u16());
     own(&call.shared, &call.ask.id, status(refusal), Some(refusal))
 }
 
-fn refuse(shared: &Shared, recorder: &Recorder, id: &Bytes, refusal: &Refusal) -> Response<Answer> {
+fn refuse(
+    shared: &Shared,
+    recorder: &Recorder,
+    id: &Bytes,
+    refusal: &Refusal,
+) -> Response<Payload> {
     recorder.record_refusal(&refusal.reason.to_string(), status(refusal));
     own(shared, id, status(refusal), Some(refusal))
 }
@@ -341,7 +346,7 @@
     id: &Bytes,
     status: StatusCode,
     refusal: Option<&Refusal>,
-) -> Response<Answer> {
+) -> Response<Payload> {
     let reason = refusal.map_or_else(|| status.to_string(), |r| r.reason.to_string());
     let mut response = plain(status, &reason);
     (shared.dialect.set_request_id)(response.headers_mut(), id);
@@ -353,8 +358,8 @@
     response
 }
 
-fn plain(status: StatusCode, text: &str) -> Response<Answer> {
-    let mut response = Response::new(Answer::whole(format!("{text}\n")));
+fn plain(status: StatusCode, text: &str) -> Response<Payload> {
+    let mut response = Response::new(Payload::full(format!("{text}\n")));
     *response.status_mut() = status;
     let kind = HeaderValue::from_static("text/plain");
     response.headers_mut().insert(header::CONTENT_TYPE, kind);
@@ -362,14 +367,14 @@
 }
 
 /// A replica's answer with its status, headers and body unchanged.
-fn answered(head: hyper::http::response::Parts, body: Answer) -> Response<Answer> {
+fn answered(head: hyper::http::response::Parts, body: Payload) -> Response<Payload> {
     let mut headers: HeaderMap = head.headers;
     for name in NOT_BACK {
         headers.remove(name);
     }
     headers.remove("keep-alive");
     let mut response = Response::new(body);
-    if matches!(response.body(), Answer::Stream(_)) {
+    if matches!(response.body(), Payload::Stream(_)) {
         headers.remove(header::CONTENT_LENGTH);
     }
     *response.status_mut() = head.status;
--- a/gateway/src/gateway.rs
+++ b/gateway/src/gateway.rs
@@ -17,7 +17,7 @@
 use tokio::net::UdpSocket;
 use tokio::sync::Notify;
 
-use crate::body::Answer;
+use crate::body::Payload;
 use crate::call;
 use crate::channel::Pool;
 use crate::clock;
@@ -46,7 +46,7 @@
 const LAST_ANSWERS: Duration = Duration::from_millis(200);
 
 /// Answers a request that is not relayed.
-pub type Handler = fn(&Shared, &Request<Incoming>) -> Response<Answer>;
+pub type Handler = fn(&Shared, &Request<Incoming>) -> Response<Payload>;
 
 /// A further listener and what answers on it.
 #[derive(Clone, Copy)]
--- a/gateway/src/relay.rs
+++ b/gateway/src/relay.rs
@@ -12,7 +12,7 @@
 use crate::attempt::Exchange;
 use crate::attempt::Failure;
 use crate::attempt::Fault;
-use crate::body::Broken;
+use crate::body::Aborted;
 use crate::call::Recorder;
 use crate::clock;
 use crate::log::Line;
@@ -59,18 +59,18 @@
     }
 
     /// The events as they come; pulled only as fast as the caller reads.
-    pub fn into_stream(self) -> impl Stream<Item = Result<Bytes, Broken>> {
+    pub fn into_stream(self) -> impl Stream<Item = Result<Bytes, Aborted>> {
         stream::unfold(Some(self), |relay| async {
             let mut relay = relay?;
             match relay.next().await {
                 Ok(Some(events)) => Some((Ok(events), Some(relay))),
                 Ok(None) => None,
-                Err(broken) => Some((Err(broken), None)),
+                Err(aborted) => Some((Err(aborted), None)),
             }
         })
     }
 
-    async fn next(&mut self) -> Result<Option<Bytes>, Broken> {
+    async fn next(&mut self) -> Result<Option<Bytes>, Aborted> {
         if let Some(events) = self.ready.take() {
             self.recorder.record_first_event(&self.call);
             return Ok(Some(events));
@@ -95,13 +95,13 @@
     ///
     /// The attempt before has been cancelled by closing its connection, so that never two runs of
     /// one stream are at work.
-    async fn resume(&mut self, mut failure: Failure) -> Result<(), Broken> {
+    async fn resume(&mut self, mut failure: Failure) -> Result<(), Aborted> {
         self.exchange = None;
         self.splitter.restart();
         loop {
             if !self.may_resume(&failure) {
                 self.recorder.record_end(&self.call, "broken_off", 200);
-                return Err(Broken);
+                return Err(Aborted);
             }
             let last = self.splitter.last_id().cloned();
             let line = Line::new("stream_resumes")
--- a/gateway/src/server.rs
+++ b/gateway/src/server.rs
@@ -24,7 +24,7 @@
 use tokio::net::TcpListener;
 use tokio::net::TcpStream;
 
-use crate::body::Answer;
+use crate::body::Payload;
 use crate::clock;
 use crate::log::Line;
 use crate::shared::Shared;
@@ -67,7 +67,7 @@
 pub async fn serve<F, R>(shared: Shared, listener: TcpListener, answer: F)
 where
     F: Fn(Shared, Request<Incoming>) -> R + Copy + 'static,
-    R: Future<Output = Result<Response<Answer>, Infallible>> + 'static,
+    R: Future<Output = Result<Response<Payload>, Infallible>> + 'static,
 {
     loop {
         match listener.accept().await {
@@ -85,7 +85,7 @@
 async fn connection<F, R>(shared: Shared, stream: TcpStream, answer: F)
 where
     F: Fn(Shared, Request<Incoming>) -> R + Copy + 'static,
-    R: Future<Output = Result<Response<Answer>, Infallible>> + 'static,
+    R: Future<Output = Result<Response<Payload>, Infallible>> + 'static,
 {
     // Without these options the connection still works, only later or longer.
     let _ = stream.set_nodelay(true);
--- a/gateway/src/view.rs
+++ b/gateway/src/view.rs
@@ -20,7 +20,7 @@
 use laburnumwheel_core::time::Span;
 use laburnumwheel_core::time::Time;
 
-use crate::body::Answer;
+use crate::body::Payload;
 use crate::channel;
 use crate::channel::Channel;
 use crate::clock;
@@ -53,17 +53,17 @@
 }
 
 /// Answers a peer that asks for what is new to it: the age of the proof, then the difference.
-pub fn answer(shared: &Shared, request: &Request<Incoming>) -> Response<Answer> {
+pub fn answer(shared: &Shared, request: &Request<Incoming>) -> Response<Payload> {
     let age = shared.gateway.borrow().proof_age(clock::now());
     let delta = age.and_then(|_| difference(shared, digest(request.uri().query())));
     let (Some(age), Some(delta)) = (age, delta) else {
-        let mut response = Response::new(Answer::whole(""));
+        let mut response = Response::new(Payload::full(""));
         *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
         return response;
     };
     let mut bytes = age.0.to_le_bytes().to_vec();
     bytes.extend_from_slice(&delta);
-    Response::new(Answer::whole(bytes))
+    Response::new(Payload::full(bytes))
 }
 
 fn difference(shared: &Shared, known: Digest) -> Option<Bytes> {
