--- a/gateway/src/attempt.rs
+++ b/gateway/src/attempt.rs
@@ -194,7 +194,7 @@
         self.in_flight.end(outcome);
         let shared = self.in_flight.shared.clone();
         let replica = self.in_flight.claim.replica;
-        shared.pool.keep(replica, self.channel, self.metadata.keep_alive);
+        shared.pool.put(replica, self.channel, self.metadata.keep_alive);
     }
 }
 
--- a/gateway/src/call.rs
+++ b/gateway/src/call.rs
@@ -72,7 +72,7 @@
         let took = clock::now().since(self.arrived);
         self.first.set(Some(took));
         let organisation = call.grant.organisation.as_deref();
-        self.shared.metrics.latency(&call.grant.route.name, organisation, took);
+        self.shared.metrics.record_latency(&call.grant.route.name, organisation, took);
     }
 
     /// Notes that an event came; the time to the first one is no pause.
--- a/gateway/src/channel.rs
+++ b/gateway/src/channel.rs
@@ -69,12 +69,12 @@
 }
 
 /// How long a connection may rest whose replica closes it after `keep_alive` seconds, if stated.
-pub fn rest(keep_alive: Option<u64>) -> Span {
+pub fn idle_limit(keep_alive: Option<u64>) -> Span {
     keep_alive.map_or(REST, |s| Span(Span::secs(s).0 / 4 * 3)).min(REST)
 }
 
 #[derive(Debug)]
-struct Resting {
+struct Idle {
     channel: Channel,
     until: Time,
 }
@@ -86,14 +86,14 @@
 /// none, and neither does one of the next run find those of the former.
 #[derive(Debug, Default)]
 pub struct Pool {
-    resting: RefCell<BTreeMap<Key<Replica>, Vec<Resting>>>,
+    idle: RefCell<BTreeMap<Key<Replica>, Vec<Idle>>>,
 }
 
 impl Pool {
     /// A kept connection to `replica` that looks open.
     pub fn take(&self, replica: Key<Replica>) -> Option<Channel> {
-        let mut resting = self.resting.borrow_mut();
-        let kept = resting.get_mut(&replica)?;
+        let mut idle = self.idle.borrow_mut();
+        let kept = idle.get_mut(&replica)?;
         let now = clock::now();
         while let Some(r) = kept.pop() {
             if now < r.until && r.channel.sender.is_ready() {
@@ -104,27 +104,27 @@
     }
 
     /// Keeps a connection whose answer has been read whole.
-    pub fn keep(&self, replica: Key<Replica>, channel: Channel, keep_alive: Option<u64>) {
+    pub fn put(&self, replica: Key<Replica>, channel: Channel, keep_alive: Option<u64>) {
         let now = clock::now();
-        let mut resting = self.resting.borrow_mut();
-        resting.retain(|_, kept| {
+        let mut idle = self.idle.borrow_mut();
+        idle.retain(|_, kept| {
             kept.retain(|r| now < r.until && !r.channel.sender.is_closed());
             !kept.is_empty()
         });
-        let kept = resting.entry(replica).or_default();
+        let kept = idle.entry(replica).or_default();
         if kept.len() < KEPT && !channel.sender.is_closed() {
-            kept.push(Resting { channel, until: now + rest(keep_alive) });
+            kept.push(Idle { channel, until: now + idle_limit(keep_alive) });
         }
     }
 
     /// Closes the connections to replicas that are gone.
     pub fn retain(&self, mut is_there: impl FnMut(Key<Replica>) -> bool) {
-        self.resting.borrow_mut().retain(|replica, _| is_there(*replica));
+        self.idle.borrow_mut().retain(|replica, _| is_there(*replica));
     }
 
     /// Kept connections.
     pub fn len(&self) -> usize {
-        self.resting.borrow().values().map(Vec::len).sum()
+        self.idle.borrow().values().map(Vec::len).sum()
     }
 
     /// Whether none is kept.
--- a/gateway/src/gateway.rs
+++ b/gateway/src/gateway.rs
@@ -67,7 +67,7 @@
     listeners: Vec<Listener>,
     duties: Option<(duty::Options, duty::Calls)>,
     grace: Duration,
-    learn_time: Duration,
+    drain_delay: Duration,
 }
 
 impl Builder {
@@ -88,7 +88,7 @@
             listeners: Vec::new(),
             duties: None,
             grace: Duration::from_secs(8),
-            learn_time: Duration::from_secs(3),
+            drain_delay: Duration::from_secs(3),
         }
     }
 
@@ -111,8 +111,8 @@
     }
 
     /// With this much time for callers to learn that the gateway stops.
-    pub fn learn_time(mut self, learn_time: Duration) -> Builder {
-        self.learn_time = learn_time;
+    pub fn drain_delay(mut self, drain_delay: Duration) -> Builder {
+        self.drain_delay = drain_delay;
         self
     }
 
@@ -186,7 +186,7 @@
             shared,
             withdraw: self.store.withdraw,
             grace: self.grace,
-            learn_time: self.learn_time,
+            drain_delay: self.drain_delay,
             callers: local,
         })
     }
@@ -216,7 +216,7 @@
 async fn write_lines(shared: Shared) {
     loop {
         shared.lines_waiting.notified().await;
-        tokio::time::sleep(log::GATHER).await;
+        tokio::time::sleep(log::FLUSH_INTERVAL).await;
         shared.lines.flush();
     }
 }
@@ -229,7 +229,7 @@
     pub callers: SocketAddr,
     withdraw: Box<dyn FnMut(u64) -> store::Reply<()>>,
     grace: Duration,
-    learn_time: Duration,
+    drain_delay: Duration,
 }
 
 impl Running {
@@ -244,7 +244,7 @@
         let shared = self.shared;
         let began = clock::now();
         let end = self.grace.saturating_sub(RESERVE + LAST_ANSWERS);
-        let (learned, end) = (clock::span(self.learn_time), clock::span(end));
+        let (learned, end) = (clock::span(self.drain_delay), clock::span(end));
         shared.gateway.borrow_mut().stop(began, learned, end);
         shared.log(Line::new("stopping").with("calls", shared.calls.get()));
         duty::stop(&shared);
@@ -254,13 +254,13 @@
         loop {
             tokio::time::sleep(LOOK).await;
             let past = clock::duration(clock::now().since(began));
-            if past > self.learn_time {
+            if past > self.drain_delay {
                 shared.connections_closing.notify_waiters();
             }
             if shared.gateway.borrow().is_ending(clock::now()) {
                 shared.calls_ending.notify_waiters();
             }
-            let done = shared.connections.get() == 0 && past > self.learn_time / 2;
+            let done = shared.connections.get() == 0 && past > self.drain_delay / 2;
             if done || past + RESERVE > self.grace {
                 break;
             }
--- a/gateway/src/log.rs
+++ b/gateway/src/log.rs
@@ -22,7 +22,7 @@
 /// Most lines in a second: several times the calls that a small host takes under load.
 const LINES_PER_SECOND: u32 = 400;
 /// Time for which lines are gathered; one system call writes them all.
-pub const GATHER: Duration = Duration::from_millis(250);
+pub const FLUSH_INTERVAL: Duration = Duration::from_millis(250);
 
 /// A log line: its event name and fields.
 #[derive(Clone, Debug)]
@@ -118,7 +118,7 @@
 }
 
 /// Lets writes to standard output fail instead of waiting for a reader.
-pub fn never_block() {
+pub fn set_stdout_nonblocking() {
     let out = rustix::stdio::stdout();
     if let Ok(flags) = fcntl_getfl(out) {
         // Without the flag a slow reader slows the process; there is nowhere to report it to.
--- a/gateway/src/metrics.rs
+++ b/gateway/src/metrics.rs
@@ -44,7 +44,7 @@
     }
 
     /// Notes the time to the first event or the whole answer of a call.
-    pub fn latency(&self, route: &str, organisation: Option<&str>, took: Span) {
+    pub fn record_latency(&self, route: &str, organisation: Option<&str>, took: Span) {
         let mut series = self.series.borrow_mut();
         record(&mut series.routes, route, took);
         if let Some(organisation) = organisation {
--- a/gateway/tests/decoders.rs
+++ b/gateway/tests/decoders.rs
@@ -138,7 +138,7 @@
 
     #[test]
     fn a_connection_never_rests_longer_than_its_replica_states(seconds: u64) {
-        let rest = channel::rest(Some(seconds));
+        let rest = channel::idle_limit(Some(seconds));
 
         prop_assert!(rest <= Span::secs(seconds));
     }
@@ -148,5 +148,5 @@
 /// in an overflow, with every call that it holds.
 #[test]
 fn the_longest_time_that_can_be_stated_is_no_longer_than_the_usual() {
-    assert_eq!(channel::rest(Some(u64::MAX)), channel::rest(None));
+    assert_eq!(channel::idle_limit(Some(u64::MAX)), channel::idle_limit(None));
 }
--- a/gateway/tests/support/mod.rs
+++ b/gateway/tests/support/mod.rs
@@ -47,7 +47,7 @@
 
 pub const KEY: &str = "secret-key";
 /// Time for callers to learn of a stop, short so that tests are.
-const LEARN_TIME: Duration = Duration::from_millis(200);
+const DRAIN_DELAY: Duration = Duration::from_millis(200);
 
 /// What a replica was sent.
 #[derive(Clone, Debug, Default)]
@@ -313,7 +313,7 @@
 async fn started(settings: Settings, store: Store, peers: SocketAddr) -> Running {
     let any: SocketAddr = "127.0.0.1:0".parse().unwrap();
     let builder = Builder::new(settings, own::dialect(), store, any, peers);
-    taken_up(builder.learn_time(LEARN_TIME)).await
+    taken_up(builder.drain_delay(DRAIN_DELAY)).await
 }
 
 async fn taken_up(builder: Builder) -> Running {
@@ -326,7 +326,7 @@
 pub fn builder(held: &Held) -> Builder {
     let any: SocketAddr = "127.0.0.1:0".parse().unwrap();
     Builder::new(settings("one", any), own::dialect(), held_store(held), any, any)
-        .learn_time(LEARN_TIME)
+        .drain_delay(DRAIN_DELAY)
 }
 
 /// Starts a gateway that has taken up what the store holds.
