--- a/gateway/src/peers.rs
+++ b/gateway/src/peers.rs
@@ -102,7 +102,7 @@
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct Proof {
     /// The question.
-    pub request: u64,
+    pub question: u64,
     /// Digest of everything that the store held.
     pub digest: view::Digest,
     /// Age of the read that saw it, in microseconds.
@@ -182,7 +182,7 @@
     let age = shared.gateway.borrow().proof_age(clock::now());
     let digest = shared.views.borrow().newest().map(|known| known.digest);
     if let (Some(age), Some(digest)) = (age, digest) {
-        let proof = Proof { request, digest, age_us: age.0 };
+        let proof = Proof { question: request, digest, age_us: age.0 };
         send(&shared.socket, from, &Message::Proof(proof)).await;
     }
 }
@@ -286,7 +286,7 @@
             }
             Message::ProofRequest(request) => reply(&shared, from, request).await,
             Message::Proof(proof) => {
-                let waiting = shared.pending.borrow_mut().proofs.remove(&proof.request);
+                let waiting = shared.pending.borrow_mut().proofs.remove(&proof.question);
                 if let Some(sender) = waiting {
                     // The caller may have given up.
                     let _ = sender.send(proof);
