--- a/core/src/gateway/delta.rs
+++ b/core/src/gateway/delta.rs
@@ -20,7 +20,7 @@
 use super::view::Base;
 use super::view::Digest;
 use super::view::Item;
-use super::view::Known;
+use super::view::Snapshot;
 use super::view::View;
 
 /// Why a difference can't be applied.
@@ -31,10 +31,10 @@
     Malformed(String),
     /// It begins from something else.
     #[error("the difference begins from something else")]
-    Base,
+    BaseMismatch,
     /// What comes out is not what was meant.
     #[error("the difference leads to something else")]
-    Result,
+    ResultMismatch,
 }
 
 /// Items of one list that were set, and keys of those that were removed.
@@ -47,7 +47,7 @@
 impl<K: Ord, T: Item<Key = K>> Changes<K, T> {
     fn between(old: &[T], new: &[T]) -> Changes<K, T> {
         let mut changes = Changes { set: Vec::new(), removed: Vec::new() };
-        view::differences(old, new, |old, new| match (old, new) {
+        view::diff(old, new, |old, new| match (old, new) {
             (_, Some(new)) => changes.set.push(new.clone()),
             (Some(old), None) => changes.removed.push(old.key()),
             (None, None) => {}
@@ -99,10 +99,10 @@
     fn apply(self, old: Option<&Arc<Config>>, digest: &mut u64) -> Config {
         let empty = Arc::default();
         if let Some(old) = old {
-            *digest = digest.wrapping_sub(view::head(old.version, &old.limits));
+            *digest = digest.wrapping_sub(view::hash_header(old.version, &old.limits));
         }
         let old = old.unwrap_or(&empty);
-        *digest = digest.wrapping_add(view::head(self.version, &self.limits));
+        *digest = digest.wrapping_add(view::hash_header(self.version, &self.limits));
         let routes = self.routes.apply(&old.routes(), digest);
         let services = self.services.apply(&old.services(), digest);
         let accounts = self.accounts.apply(&old.accounts(), digest);
@@ -133,7 +133,7 @@
 
 impl Delta {
     /// What leads from `old` to `new`.
-    pub fn between(old: Base<'_>, new: &Known) -> Delta {
+    pub fn between(old: Base<'_>, new: &Snapshot) -> Delta {
         let empty = Arc::default();
         let (from, to) = (old.digest, new.digest);
         let config = new.view.config.as_ref().filter(|_| from.config != to.config);
@@ -147,7 +147,7 @@
     }
 
     /// Whether it begins from nothing, and so holds everything.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_full(&self) -> bool {
         self.from == Digest::default()
     }
 
@@ -156,15 +156,15 @@
     /// # Errors
     ///
     /// That it begins from something else, or that something else comes out than was meant.
-    pub fn apply(self, known: Option<&Known>) -> Result<Known, Error> {
-        let own = known.map(Known::base).unwrap_or_default();
+    pub fn apply(self, known: Option<&Snapshot>) -> Result<Snapshot, Error> {
+        let own = known.map(Snapshot::base).unwrap_or_default();
         let (from, to) = (self.from, self.to);
         let fits = |from: u64, own: u64| from == 0 || from == own;
         let fits = fits(from.config, own.digest.config)
             && fits(from.replicas, own.digest.replicas)
             && fits(from.gateways, own.digest.gateways);
         if !fits {
-            return Err(Error::Base);
+            return Err(Error::BaseMismatch);
         }
         let mut digest = from;
         let replicas = if from.replicas == 0 { &[] } else { own.replicas };
@@ -181,9 +181,9 @@
             None => old.cloned(),
         };
         if digest != to {
-            return Err(Error::Result);
+            return Err(Error::ResultMismatch);
         }
-        Ok(Known { view: Arc::new(View { config, replicas, gateways }), digest })
+        Ok(Snapshot { view: Arc::new(View { config, replicas, gateways }), digest })
     }
 
     /// Its bytes.
--- a/core/src/gateway/view.rs
+++ b/core/src/gateway/view.rs
@@ -43,7 +43,7 @@
 
 /// A view with its digest.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Known {
+pub struct Snapshot {
     /// The view; its lists are in order and hold each item once.
     pub view: Arc<View>,
     /// Its digest.
@@ -127,7 +127,7 @@
 }
 
 /// Kind of the part of a configuration that is no item of a list.
-const HEAD: u8 = 0;
+const HEADER: u8 = 0;
 
 fn hash_bytes(kind: u8, item: &impl Serialize) -> u64 {
     // Encoding to memory can't fail for these types; an empty encoding would only show as a difference.
@@ -141,16 +141,12 @@
 }
 
 /// Hash of what a configuration holds besides its lists.
-pub(super) fn head(version: u64, limits: &Limits) -> u64 {
-    hash_bytes(HEAD, &(version, limits))
+pub(super) fn hash_header(version: u64, limits: &Limits) -> u64 {
+    hash_bytes(HEADER, &(version, limits))
 }
 
 /// Goes through two ordered lists together, and shows each item that is not the same in both.
-pub(super) fn differences<T: Item>(
-    old: &[T],
-    new: &[T],
-    mut see: impl FnMut(Option<&T>, Option<&T>),
-) {
+pub(super) fn diff<T: Item>(old: &[T], new: &[T], mut see: impl FnMut(Option<&T>, Option<&T>)) {
     let (mut olds, mut news) = (old.iter().peekable(), new.iter().peekable());
     loop {
         let order = match (olds.peek(), news.peek()) {
@@ -169,7 +165,7 @@
 
 fn sum<T: Item>(before: u64, old: &[T], new: &[T]) -> u64 {
     let mut sum = before;
-    differences(old, new, |o, n| {
+    diff(old, new, |o, n| {
         sum = sum.wrapping_sub(o.map_or(0, hash)).wrapping_add(n.map_or(0, hash));
     });
     sum
@@ -179,7 +175,7 @@
     sum(0, &[], &config.routes())
         .wrapping_add(sum(0, &[], &config.services()))
         .wrapping_add(sum(0, &[], &config.accounts()))
-        .wrapping_add(head(config.version, &config.limits))
+        .wrapping_add(hash_header(config.version, &config.limits))
 }
 
 fn ordered<T: Item>(items: &mut Vec<T>) {
@@ -187,12 +183,12 @@
     items.dedup_by(|a, b| a.order(b).is_eq());
 }
 
-impl Known {
+impl Snapshot {
     /// `view` with its digest, reckoned from what was known `before`.
-    pub fn new(mut view: View, before: Option<&Known>) -> Known {
+    pub fn new(mut view: View, before: Option<&Snapshot>) -> Snapshot {
         ordered(&mut view.replicas);
         ordered(&mut view.gateways);
-        let empty = Known { view: Arc::default(), digest: Digest::default() };
+        let empty = Snapshot { view: Arc::default(), digest: Digest::default() };
         let before = before.unwrap_or(&empty);
         let (old, d) = (&before.view, before.digest);
         let config = match (&old.config, &view.config) {
@@ -204,7 +200,7 @@
             replicas: sum(d.replicas, &old.replicas, &view.replicas),
             gateways: sum(d.gateways, &old.gateways, &view.gateways),
         };
-        Known { view: Arc::new(view), digest }
+        Snapshot { view: Arc::new(view), digest }
     }
 
     /// The whole of it, as something to begin from.
@@ -234,17 +230,17 @@
 /// The last views of a gateway, the newest first.
 #[derive(Debug, Default)]
 pub struct History {
-    views: VecDeque<Known>,
+    views: VecDeque<Snapshot>,
 }
 
 impl History {
     /// The newest view.
-    pub fn newest(&self) -> Option<&Known> {
+    pub fn newest(&self) -> Option<&Snapshot> {
         self.views.front()
     }
 
     /// Takes a view in, unless it is as the newest; keeps `most` of them.
-    pub fn push(&mut self, known: Known, most: usize) {
+    pub fn push(&mut self, known: Snapshot, most: usize) {
         if self.newest().is_none_or(|newest| newest.digest != known.digest) {
             self.views.push_front(known);
         }
--- a/core/tests/gateway/delta.rs
+++ b/core/tests/gateway/delta.rs
@@ -16,7 +16,7 @@
 use laburnumwheel_core::gateway::view::Base;
 use laburnumwheel_core::gateway::view::Digest;
 use laburnumwheel_core::gateway::view::History;
-use laburnumwheel_core::gateway::view::Known;
+use laburnumwheel_core::gateway::view::Snapshot;
 use laburnumwheel_core::gateway::view::View;
 use proptest::collection::vec;
 use proptest::option;
@@ -90,8 +90,8 @@
 proptest! {
     #[test]
     fn a_difference_applied_to_the_old_view_gives_the_new(a in views(), b in views()) {
-        let a = Known::new(a, None);
-        let b = Known::new(b, None);
+        let a = Snapshot::new(a, None);
+        let b = Snapshot::new(b, None);
         let bytes = Delta::between(a.base(), &b).encode().unwrap();
 
         let got = Delta::decode(&bytes).unwrap().apply(Some(&a));
@@ -101,21 +101,21 @@
 
     #[test]
     fn a_difference_from_nothing_gives_the_view_whatever_was_known(a in views(), b in views()) {
-        let a = Known::new(a, None);
-        let b = Known::new(b, None);
+        let a = Snapshot::new(a, None);
+        let b = Snapshot::new(b, None);
         let delta = Delta::between(Base::default(), &b);
 
-        prop_assert!(delta.is_whole());
+        prop_assert!(delta.is_full());
         prop_assert_eq!(delta.apply(Some(&a)), Ok(b));
     }
 
     #[test]
     fn a_digest_does_not_depend_on_what_was_known_before(a in views(), b in views()) {
-        let before = Known::new(a, None);
+        let before = Snapshot::new(a, None);
 
-        let reckoned = Known::new(b.clone(), Some(&before));
+        let reckoned = Snapshot::new(b.clone(), Some(&before));
 
-        prop_assert_eq!(reckoned, Known::new(b, None));
+        prop_assert_eq!(reckoned, Snapshot::new(b, None));
     }
 
     #[test]
@@ -125,8 +125,8 @@
         at in proptest::prelude::any::<Index>(),
         bit in 0..8_u8,
     ) {
-        let a = Known::new(a, None);
-        let b = Known::new(b, None);
+        let a = Snapshot::new(a, None);
+        let b = Snapshot::new(b, None);
         let mut bytes = Delta::between(a.base(), &b).encode().unwrap();
         let at = at.index(bytes.len());
         bytes[at] ^= 1 << bit;
@@ -142,7 +142,7 @@
         b in views(),
         at in proptest::prelude::any::<Index>(),
     ) {
-        let (a, b) = (Known::new(a, None), Known::new(b, None));
+        let (a, b) = (Snapshot::new(a, None), Snapshot::new(b, None));
         let bytes = Delta::between(a.base(), &b).encode().unwrap();
 
         let got = Delta::decode(&bytes[..at.index(bytes.len())]);
@@ -155,13 +155,13 @@
         let got = Delta::decode(&bytes).and_then(|delta| delta.apply(None));
 
         // Nothing is the one view that short bytes can hold: its digest is zero.
-        prop_assert!(got.is_err() || got == Ok(Known::new(View::default(), None)));
+        prop_assert!(got.is_err() || got == Ok(Snapshot::new(View::default(), None)));
     }
 }
 
 #[test]
 fn bytes_behind_a_difference_are_an_error() {
-    let known = Known::new(View::default(), None);
+    let known = Snapshot::new(View::default(), None);
     let mut bytes = Delta::between(Base::default(), &known).encode().unwrap();
     bytes.push(0);
 
@@ -186,19 +186,19 @@
 fn a_difference_does_not_apply_to_another_view() {
     let view = |count| View { replicas: listings(count), ..View::default() };
     let (a, b, c) =
-        (Known::new(view(3), None), Known::new(view(4), None), Known::new(view(5), None));
+        (Snapshot::new(view(3), None), Snapshot::new(view(4), None), Snapshot::new(view(5), None));
     let delta = Delta::between(a.base(), &b);
 
     let got = delta.clone().apply(Some(&c));
 
-    assert_eq!(got, Err(Error::Base));
-    assert_eq!(delta.apply(None), Err(Error::Base));
+    assert_eq!(got, Err(Error::BaseMismatch));
+    assert_eq!(delta.apply(None), Err(Error::BaseMismatch));
 }
 
 #[test]
 fn a_change_takes_bytes_in_proportion_to_itself() {
     let view = |count| View { replicas: listings(count), ..View::default() };
-    let (a, b) = (Known::new(view(3_000), None), Known::new(view(2_999), None));
+    let (a, b) = (Snapshot::new(view(3_000), None), Snapshot::new(view(2_999), None));
 
     let bytes = Delta::between(a.base(), &b).encode().unwrap();
 
@@ -213,7 +213,7 @@
         replicas: listings(count),
         gateways: Vec::new(),
     };
-    let known = [(1, 3), (2, 4), (3, 5)].map(|(v, c)| Known::new(view(v, c), None));
+    let known = [(1, 3), (2, 4), (3, 5)].map(|(v, c)| Snapshot::new(view(v, c), None));
     let mut history = History::default();
     known.iter().for_each(|k| history.push(k.clone(), 2));
     let (old, middle, newest) = (known[0].digest, known[1].digest, known[2].digest);
--- a/gateway/src/gateway.rs
+++ b/gateway/src/gateway.rs
@@ -167,7 +167,7 @@
         let (read, write_quarantine) = (self.store.read, self.store.write_quarantine);
         let follower = store::Follower { eras: eras.clone(), read, write_quarantine };
         spawn(Box::pin(store::follow(shared.clone(), follower)));
-        spawn(Box::pin(serve_plain(shared.clone(), views, view::answer)));
+        spawn(Box::pin(serve_plain(shared.clone(), views, view::respond)));
         let (announce, renew) = (self.store.announce, self.store.renew);
         let entry_task =
             store::maintain_entry(shared.clone(), entry, eras.clone(), announce, renew);
--- a/gateway/src/store.rs
+++ b/gateway/src/store.rs
@@ -14,7 +14,7 @@
 use laburnumwheel_core::gateway::autoscaler::Capacities;
 use laburnumwheel_core::gateway::autoscaler::Scaling;
 use laburnumwheel_core::gateway::directory::Entry;
-use laburnumwheel_core::gateway::view::Known;
+use laburnumwheel_core::gateway::view::Snapshot;
 use laburnumwheel_core::rendezvous;
 use laburnumwheel_core::time::Span;
 use laburnumwheel_core::time::Time;
@@ -340,13 +340,13 @@
     }
     reading.flaws.extend(of_unknown_services(&reading.view));
     flaw::log_changes(shared, &shared.flaws, &reading.flaws);
-    let known = Known::new(reading.view, shared.views.borrow().newest());
+    let known = Snapshot::new(reading.view, shared.views.borrow().newest());
     take(shared, sent, known, Source::Store, readable);
     reading.fingerprints
 }
 
 /// Takes a view in; `proves` if it shows which configuration is the newest.
-fn take(shared: &Shared, sent: Time, known: Known, from: Source, proves: bool) {
+fn take(shared: &Shared, sent: Time, known: Snapshot, from: Source, proves: bool) {
     // A reader that lags must not bring a replica back that is known to have left.
     if shared.gateway.borrow().proved().is_some_and(|proved| sent < proved) {
         shared.metrics.count("views_total", format!("from=\"{from}\",taken=\"too_old\""));
--- a/gateway/src/view.rs
+++ b/gateway/src/view.rs
@@ -16,7 +16,7 @@
 use laburnumwheel_core::gateway::delta;
 use laburnumwheel_core::gateway::delta::Delta;
 use laburnumwheel_core::gateway::view::Digest;
-use laburnumwheel_core::gateway::view::Known;
+use laburnumwheel_core::gateway::view::Snapshot;
 use laburnumwheel_core::time::Span;
 use laburnumwheel_core::time::Time;
 
@@ -53,7 +53,7 @@
 }
 
 /// Answers a peer that asks for what is new to it: the age of the proof, then the difference.
-pub fn answer(shared: &Shared, request: &Request<Incoming>) -> Response<Payload> {
+pub fn respond(shared: &Shared, request: &Request<Incoming>) -> Response<Payload> {
     let age = shared.gateway.borrow().proof_age(clock::now());
     let delta = age.and_then(|_| difference(shared, digest(request.uri().query())));
     let (Some(age), Some(delta)) = (age, delta) else {
@@ -93,7 +93,7 @@
 /// # Errors
 ///
 /// Why there is no view.
-pub async fn fetch(shared: &Shared, address: &str) -> Result<(Time, Known), Error> {
+pub async fn fetch(shared: &Shared, address: &str) -> Result<(Time, Snapshot), Error> {
     let known = shared.views.borrow().newest().cloned();
     let (sent, delta) = fetch_delta(shared, address, known.as_ref()).await?;
     match delta.apply(known.as_ref()) {
@@ -111,7 +111,7 @@
 async fn fetch_delta(
     shared: &Shared,
     address: &str,
-    known: Option<&Known>,
+    known: Option<&Snapshot>,
 ) -> Result<(Time, Delta), Error> {
     let asked = clock::now();
     let head = tokio::time::timeout(CALL_TIMEOUT, head(address, known)).await;
@@ -121,7 +121,7 @@
     let (age, delta) =
         bytes.split_first_chunk::<8>().ok_or(Error::Malformed("too short".to_owned()))?;
     let delta = Delta::decode(delta).map_err(malformed)?;
-    let kind = if delta.is_whole() { "whole" } else { "difference" };
+    let kind = if delta.is_full() { "whole" } else { "difference" };
     shared.metrics.add("view_bytes_total", format!("kind=\"{kind}\""), bytes.len() as u64);
     shared.metrics.count("view_fetches_total", format!("kind=\"{kind}\""));
     Ok((asked - Span(u64::from_le_bytes(*age)), delta))
@@ -129,7 +129,7 @@
 
 async fn head(
     address: &str,
-    known: Option<&Known>,
+    known: Option<&Snapshot>,
 ) -> Result<(Channel, Response<Incoming>), Error> {
     let unreachable = |e: &dyn std::fmt::Display| Error::Unreachable(e.to_string());
     let mut channel = channel::open(address).await.map_err(|e| unreachable(&e))?;
--- a/gateway/tests/decoders.rs
+++ b/gateway/tests/decoders.rs
@@ -12,7 +12,7 @@
 use laburnumwheel_core::gateway::gossip::Sighting;
 use laburnumwheel_core::gateway::plan::Plan;
 use laburnumwheel_core::gateway::view::Base;
-use laburnumwheel_core::gateway::view::Known;
+use laburnumwheel_core::gateway::view::Snapshot;
 use laburnumwheel_core::gateway::view::View;
 use laburnumwheel_core::incarnation::Digest;
 use laburnumwheel_core::incarnation::Incarnation;
@@ -71,7 +71,7 @@
     };
     let replicas = ["i-1", "i-2", "i-3"].map(listing).to_vec();
     let view = View { config: None, replicas, gateways: vec![entry()] };
-    Delta::between(Base::default(), &Known::new(view, None)).encode().unwrap()
+    Delta::between(Base::default(), &Snapshot::new(view, None)).encode().unwrap()
 }
 
 /// Bytes with some of them changed, and cut.
--- a/gateway/tests/views.rs
+++ b/gateway/tests/views.rs
@@ -13,7 +13,7 @@
 use laburnumwheel_core::gateway::config::Target;
 use laburnumwheel_core::gateway::delta::Delta;
 use laburnumwheel_core::gateway::view::Base;
-use laburnumwheel_core::gateway::view::Known;
+use laburnumwheel_core::gateway::view::Snapshot;
 use laburnumwheel_core::time::Span;
 use laburnumwheel_gateway::clock;
 use laburnumwheel_gateway::gateway::Running;
@@ -193,7 +193,7 @@
         let mut left = view(1, 2);
         left.replicas.remove(7);
         left.gateways = old.view.gateways.clone();
-        let new = Known::new(left, None);
+        let new = Snapshot::new(left, None);
         let mut damaged = Delta::between(old.base(), &new).encode().unwrap();
         let id = damaged.windows(11).position(|w| w == b"replica-007").unwrap();
         damaged[id + 10] = b'8';
@@ -214,7 +214,7 @@
     run(async {
         let held: Held = Rc::new(RefCell::new(Some(view(1, 2))));
         let all = gateways(&held, 1).await;
-        let new = Known::new(view(1, ROUTES), None);
+        let new = Snapshot::new(view(1, ROUTES), None);
         let whole = Delta::between(Base::default(), &new).encode().unwrap();
         let reader = reader_at([whole, Vec::new()], SLOW).await;
 
