--- a/core/src/gateway/journal.rs
+++ b/core/src/gateway/journal.rs
@@ -3,7 +3,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use super::usage::REPORTS_KEPT;
+use super::usage::MAX_REPORTS;
 use super::usage::Report;
 use super::usage::Window;
 
@@ -40,7 +40,7 @@
         journal.last_window = journal.last_window.max(report.window);
         journal.reports.push(report);
         journal.reports.sort_by_key(|report| report.window);
-        let excess = journal.reports.len().saturating_sub(REPORTS_KEPT);
+        let excess = journal.reports.len().saturating_sub(MAX_REPORTS);
         journal.reports.drain(..excess);
         while journal.reports.len() > 1 && journal.bytes() > MAX_BYTES {
             journal.reports.remove(0);
--- a/core/src/gateway/usage.rs
+++ b/core/src/gateway/usage.rs
@@ -28,7 +28,7 @@
 /// Upper bound on the difference between the true times of two gateways.
 const CLOCK_ERROR: Span = Span::millis(2_500);
 /// Reports remembered in the store, so that a successor can repeat them.
-pub const REPORTS_KEPT: usize = 4;
+pub const MAX_REPORTS: usize = 4;
 
 /// Number of a window since the start of 1970.
 pub type Window = u64;
@@ -38,14 +38,14 @@
 
 /// When windows begin, and when their reports are due.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Rules {
+pub struct Schedule {
     /// Length of a window.
     pub window: Span,
     /// Time from a window's end until its report is due.
     pub due: Span,
 }
 
-impl Rules {
+impl Schedule {
     /// The window in which `wall` lies.
     pub fn window_at(&self, wall: WallTime) -> Window {
         wall / self.window.0.max(1)
@@ -115,8 +115,8 @@
 
 /// Counts of this gateway, and those that it holds for others.
 #[derive(Debug)]
-pub struct Log {
-    rules: Rules,
+pub struct Collector {
+    schedule: Schedule,
     gateway: u32,
     incarnation: u64,
     seq: u32,
@@ -126,21 +126,21 @@
     held: BTreeMap<BatchId, Held>,
 }
 
-impl Log {
+impl Collector {
     /// An empty log of this incarnation of a gateway.
-    pub fn new(rules: Rules, gateway: u32, incarnation: u64) -> Log {
+    pub fn new(schedule: Schedule, gateway: u32, incarnation: u64) -> Collector {
         let (pending, held) = (BTreeMap::new(), BTreeMap::new());
-        Log { rules, gateway, incarnation, seq: 0, vouched: 0, pending, held }
+        Collector { schedule, gateway, incarnation, seq: 0, vouched: 0, pending, held }
     }
 
     /// When windows begin and reports are due.
-    pub fn rules(&self) -> Rules {
-        self.rules
+    pub fn schedule(&self) -> Schedule {
+        self.schedule
     }
 
     /// Counts a request that began to run at `wall`.
     pub fn record(&mut self, wall: WallTime, organisation: &str) {
-        let counts = self.pending.entry(self.rules.window_at(wall)).or_default();
+        let counts = self.pending.entry(self.schedule.window_at(wall)).or_default();
         match counts.get_mut(organisation) {
             Some(count) => *count += 1,
             None => {
@@ -151,7 +151,7 @@
 
     /// Cuts what was counted since the last time into batches, and forgets old windows.
     pub fn flush(&mut self, wall: WallTime, token: u64) {
-        let current = self.rules.window_at(wall);
+        let current = self.schedule.window_at(wall);
         // An empty batch distinguishes a window without requests from one whose counts are lost.
         let previous = current.saturating_sub(1);
         if previous > self.vouched {
@@ -210,12 +210,12 @@
     }
 
     /// Batches to send to the leader, which began its term with `token`.
-    pub fn for_leader(&self, leader: u32, token: u64) -> Vec<Batch> {
+    pub fn pending_for_leader(&self, leader: u32, token: u64) -> Vec<Batch> {
         self.unacked(leader, |held| held.own || held.token < token)
     }
 
     /// Batches to send to a backup.
-    pub fn for_backup(&self, backup: u32) -> Vec<Batch> {
+    pub fn pending_for_backup(&self, backup: u32) -> Vec<Batch> {
         self.unacked(backup, |held| held.own)
     }
 
@@ -237,18 +237,19 @@
     }
 
     /// The newest window of which a leader may have sent a report by `wall`, with clocks that differ.
-    pub fn last_reported(&self, wall: WallTime) -> Window {
-        let current = self.rules.window_at(wall + CLOCK_ERROR.0);
+    pub fn last_possibly_reported(&self, wall: WallTime) -> Window {
+        let current = self.schedule.window_at(wall + CLOCK_ERROR.0);
         let oldest = current.saturating_sub(WINDOWS_KEPT);
-        let settled = |w: &Window| self.rules.settled_at(*w) <= wall + CLOCK_ERROR.0;
+        let settled = |w: &Window| self.schedule.settled_at(*w) <= wall + CLOCK_ERROR.0;
         (oldest..current).filter(settled).max().unwrap_or(oldest)
     }
 
     /// Windows that are complete and not overdue at `wall`, the oldest first.
     pub fn reportable(&self, wall: WallTime) -> Vec<Window> {
-        let current = self.rules.window_at(wall);
+        let current = self.schedule.window_at(wall);
         let oldest = current.saturating_sub(WINDOWS_KEPT);
-        let is_due = |w: &Window| self.rules.settled_at(*w) <= wall && wall < self.rules.due_at(*w);
+        let is_due =
+            |w: &Window| self.schedule.settled_at(*w) <= wall && wall < self.schedule.due_at(*w);
         (oldest..current).filter(is_due).collect()
     }
 
@@ -264,7 +265,7 @@
     }
 
     /// Gateways of which a batch of a window is here.
-    pub fn reporters(&self, window: Window) -> usize {
+    pub fn reporting_gateways(&self, window: Window) -> usize {
         let ids = self.held.values().filter(|held| held.batch.window == window);
         ids.map(|held| held.batch.id.gateway).collect::<BTreeSet<u32>>().len()
     }
--- a/core/tests/gateway/usage.rs
+++ b/core/tests/gateway/usage.rs
@@ -4,70 +4,70 @@
 
 use laburnumwheel_core::gateway::journal::Journal;
 use laburnumwheel_core::gateway::usage::Batch;
+use laburnumwheel_core::gateway::usage::Collector;
 use laburnumwheel_core::gateway::usage::Counts;
-use laburnumwheel_core::gateway::usage::Log;
-use laburnumwheel_core::gateway::usage::REPORTS_KEPT;
+use laburnumwheel_core::gateway::usage::MAX_REPORTS;
 use laburnumwheel_core::gateway::usage::Report;
-use laburnumwheel_core::gateway::usage::Rules;
+use laburnumwheel_core::gateway::usage::Schedule;
 use laburnumwheel_core::gateway::usage::Window;
 use laburnumwheel_core::time::Span;
 use proptest::prelude::*;
 
-const RULES: Rules = Rules { window: Span::secs(5), due: Span::secs(10) };
+const SCHEDULE: Schedule = Schedule { window: Span::secs(5), due: Span::secs(10) };
 /// A moment in the middle of window 1,000.
 const NOW: u64 = 5_002_000_000;
 const WINDOW: Window = 1_000;
 
-fn log(gateway: u32) -> Log {
-    Log::new(RULES, gateway, 1)
+fn collector(gateway: u32) -> Collector {
+    Collector::new(SCHEDULE, gateway, 1)
 }
 
 fn counts(pairs: &[(&str, u64)]) -> Counts {
     pairs.iter().map(|(name, count)| ((*name).to_owned(), *count)).collect()
 }
 
-/// A log with `count` requests of one organisation, cut into a batch.
-fn counted(gateway: u32, count: u32) -> Log {
-    let mut log = log(gateway);
-    (0..count).for_each(|_| log.record(NOW, "museum"));
-    log.flush(NOW, 0);
-    log
+/// A collector with `count` requests of one organisation, cut into a batch.
+fn collector_with(gateway: u32, count: u32) -> Collector {
+    let mut collector = collector(gateway);
+    (0..count).for_each(|_| collector.record(NOW, "museum"));
+    collector.flush(NOW, 0);
+    collector
 }
 
 #[test]
 fn a_batch_that_comes_twice_counts_once() {
-    let batches = counted(1, 3).for_leader(9, 1);
-    let mut leader = log(9);
+    let batches = collector_with(1, 3).pending_for_leader(9, 1);
+    let mut leader = collector(9);
 
     leader.merge(1, 1, batches.clone());
     leader.merge(2, 1, batches);
 
     assert_eq!(leader.report(WINDOW).counts, counts(&[("museum", 3)]));
-    assert_eq!(leader.reporters(WINDOW), 1);
+    assert_eq!(leader.reporting_gateways(WINDOW), 1);
 }
 
 #[test]
 fn a_batch_is_sent_until_it_is_acknowledged() {
-    let mut gateway = counted(1, 1);
-    let first = gateway.for_leader(9, 1);
-    let again = gateway.for_leader(9, 1);
+    let mut gateway = collector_with(1, 1);
+    let first = gateway.pending_for_leader(9, 1);
+    let again = gateway.pending_for_leader(9, 1);
     let ids: Vec<_> = again.iter().map(|batch| batch.id).collect();
 
     gateway.record_acks(9, &ids);
 
     assert_eq!(first, again);
-    assert!(gateway.for_leader(9, 1).is_empty());
-    assert_eq!(gateway.for_backup(8), first);
+    assert!(gateway.pending_for_leader(9, 1).is_empty());
+    assert_eq!(gateway.pending_for_backup(8), first);
 }
 
 #[test]
 fn a_backup_hands_the_counts_of_a_killed_gateway_to_the_next_leader() {
-    let batches = counted(1, 2).for_backup(2);
-    let mut backup = log(2);
+    let batches = collector_with(1, 2).pending_for_backup(2);
+    let mut backup = collector(2);
     backup.merge(1, 5, batches);
 
-    let same_leader = backup.for_leader(9, 5);
-    let next_leader = backup.for_leader(7, 6);
+    let same_leader = backup.pending_for_leader(9, 5);
+    let next_leader = backup.pending_for_leader(7, 6);
 
     assert!(same_leader.is_empty());
     assert_eq!(next_leader.iter().map(|batch| batch.counts.len()).sum::<usize>(), 1);
@@ -75,8 +75,8 @@
 
 #[test]
 fn requests_count_in_the_window_in_which_they_began() {
-    let mut gateway = log(1);
-    let boundary = (WINDOW + 1) * RULES.window.0;
+    let mut gateway = collector(1);
+    let boundary = (WINDOW + 1) * SCHEDULE.window.0;
 
     gateway.record(boundary - 1, "museum");
     gateway.record(boundary, "museum");
@@ -88,8 +88,8 @@
 
 #[test]
 fn windows_are_reported_once_complete_and_not_when_overdue() {
-    let gateway = log(1);
-    let end = (WINDOW + 1) * RULES.window.0;
+    let gateway = collector(1);
+    let end = (WINDOW + 1) * SCHEDULE.window.0;
 
     assert!(!gateway.reportable(end + 1_000_000).contains(&WINDOW));
     assert!(gateway.reportable(end + 4_000_000).contains(&WINDOW));
@@ -98,34 +98,34 @@
 
 #[test]
 fn old_windows_are_forgotten() {
-    let mut gateway = counted(1, 1);
+    let mut gateway = collector_with(1, 1);
 
     gateway.flush(NOW + 60_000_000, 0);
 
-    let left = gateway.for_leader(9, 1);
+    let left = gateway.pending_for_leader(9, 1);
     assert!(left.iter().all(|batch| batch.window > WINDOW));
 }
 
 #[test]
 fn a_window_without_requests_is_vouched_for() {
-    let mut gateway = log(1);
+    let mut gateway = collector(1);
 
-    gateway.flush(NOW + RULES.window.0, 0);
+    gateway.flush(NOW + SCHEDULE.window.0, 0);
 
-    assert_eq!(gateway.reporters(WINDOW), 1);
+    assert_eq!(gateway.reporting_gateways(WINDOW), 1);
     assert!(gateway.report(WINDOW).counts.is_empty());
 }
 
 #[test]
 fn many_organisations_fit_into_datagrams() {
-    let mut gateway = log(1);
+    let mut gateway = collector(1);
     for i in 0..18_000 {
         gateway.record(NOW, &format!("organisation-{i}"));
     }
     gateway.flush(NOW, 0);
-    let mut leader = log(9);
+    let mut leader = collector(9);
 
-    while let batches = gateway.for_leader(9, 1)
+    while let batches = gateway.pending_for_leader(9, 1)
         && !batches.is_empty()
     {
         assert!(encoded(&batches) < 8_000);
@@ -151,11 +151,11 @@
 #[test]
 fn the_journal_keeps_the_newest_reports() {
     let report = |window| Report { window, counts: Counts::new() };
-    let last = REPORTS_KEPT as Window + 3;
+    let last = MAX_REPORTS as Window + 3;
 
     let journal = (1..=last).fold(Journal::default(), |j, w| j.with_report(report(w)));
 
-    assert_eq!(journal.reports.len(), REPORTS_KEPT);
+    assert_eq!(journal.reports.len(), MAX_REPORTS);
     assert_eq!(journal.report(last), Some(&report(last)));
     assert!(!journal.is_open(last));
 }
@@ -178,20 +178,20 @@
         gateways in prop::collection::vec((1_u32..5, 0_u64..4, 1_u32..20), 1..40),
         order in any::<u64>(),
     ) {
-        let mut logs: BTreeMap<u32, Log> = BTreeMap::new();
+        let mut collectors: BTreeMap<u32, Collector> = BTreeMap::new();
         let mut expected = Counts::new();
         for (gateway, name, count) in &gateways {
-            let log = logs.entry(*gateway).or_insert_with(|| log(*gateway));
+            let collector = collectors.entry(*gateway).or_insert_with(|| collector(*gateway));
             let name = format!("organisation-{name}");
-            (0..*count).for_each(|_| log.record(NOW, &name));
+            (0..*count).for_each(|_| collector.record(NOW, &name));
             *expected.entry(name).or_default() += u64::from(*count);
-            log.flush(NOW, 0);
+            collector.flush(NOW, 0);
         }
         let mut batches: Vec<Batch> =
-            logs.values().flat_map(|log| log.for_leader(99, 1)).collect();
+            collectors.values().flat_map(|collector| collector.pending_for_leader(99, 1)).collect();
         batches.extend(batches.clone());
         batches.sort_by_key(|batch| u64::from(batch.id.seq).wrapping_mul(order) ^ order);
-        let mut leader = log(99);
+        let mut leader = collector(99);
 
         batches.into_iter().for_each(|batch| drop(leader.merge(1, 1, vec![batch])));
 
--- a/gateway/src/duty.rs
+++ b/gateway/src/duty.rs
@@ -48,7 +48,7 @@
     /// Times of the election.
     pub election: leader::Timing,
     /// Windows of usage reports, if they are a duty.
-    pub usage: Option<usage::Rules>,
+    pub usage: Option<usage::Schedule>,
     /// Replicas are to be ordered.
     pub autoscale: bool,
     /// The whole system starts for the first time, so nobody has led before.
@@ -123,7 +123,7 @@
     options: Options,
     calls: Calls,
     election: RefCell<Election>,
-    usage: RefCell<Option<usage::Log>>,
+    usage: RefCell<Option<usage::Collector>>,
     wall: RefCell<Wall>,
     leader: Cell<Option<Identity>>,
     inventory: RefCell<Inventory>,
@@ -142,12 +142,13 @@
     pub fn new(options: Options, calls: Calls, name: &str, incarnation: u64) -> State {
         let now = clock::now();
         let gateway = directory::short(name);
-        let log = options.usage.map(|rules| usage::Log::new(rules, gateway, incarnation));
+        let collector =
+            options.usage.map(|schedule| usage::Collector::new(schedule, gateway, incarnation));
         State {
             options,
             calls,
             election: RefCell::new(Election::new(options.election, now, options.is_first_start)),
-            usage: RefCell::new(log),
+            usage: RefCell::new(collector),
             wall: RefCell::new(Wall::new(now, system_time())),
             leader: Cell::new(None),
             inventory: RefCell::default(),
@@ -158,8 +159,8 @@
 
     /// Counts a request that began to run at `at`.
     pub fn record(&self, at: Time, organisation: &str) {
-        if let Some(log) = self.usage.borrow_mut().as_mut() {
-            log.record(self.wall.borrow().at(at), organisation);
+        if let Some(collector) = self.usage.borrow_mut().as_mut() {
+            collector.record(self.wall.borrow().at(at), organisation);
         }
     }
 
@@ -197,14 +198,17 @@
     /// Takes in usage batches; returns which of them need not be sent again.
     pub fn merge(&self, from: u32, batches: Vec<Batch>) -> Vec<usage::BatchId> {
         let token = self.leader.get().map_or(0, |leader| leader.token);
-        let mut log = self.usage.borrow_mut();
-        log.as_mut().map(|log| log.merge(from, token, batches)).unwrap_or_default()
+        let mut collector = self.usage.borrow_mut();
+        collector
+            .as_mut()
+            .map(|collector| collector.merge(from, token, batches))
+            .unwrap_or_default()
     }
 
     /// Takes in that a gateway holds these batches.
     pub fn record_acks(&self, by: u32, ids: &[usage::BatchId]) {
-        if let Some(log) = self.usage.borrow_mut().as_mut() {
-            log.record_acks(by, ids);
+        if let Some(collector) = self.usage.borrow_mut().as_mut() {
+            collector.record_acks(by, ids);
         }
     }
 
--- a/gateway/src/duty/delivery.rs
+++ b/gateway/src/duty/delivery.rs
@@ -49,13 +49,13 @@
         (own, leader.zip(address.map(str::to_owned)), backup)
     };
     let mut messages = Vec::new();
-    if let Some(log) = duties.usage.borrow_mut().as_mut() {
-        log.flush(wall, token);
+    if let Some(collector) = duties.usage.borrow_mut().as_mut() {
+        collector.flush(wall, token);
         if let Some((leader, address)) = leader_address {
-            messages.push((address, log.for_leader(leader, token)));
+            messages.push((address, collector.pending_for_leader(leader, token)));
         }
         if let Some((backup, address)) = backup {
-            messages.push((address, log.for_backup(backup)));
+            messages.push((address, collector.pending_for_backup(backup)));
         }
     }
     for (address, batches) in messages.into_iter().filter(|(_, batches)| !batches.is_empty()) {
--- a/gateway/src/duty/term.rs
+++ b/gateway/src/duty/term.rs
@@ -87,7 +87,7 @@
         }
         let wall = self.wall();
         let windows = match self.duties.usage.borrow().as_ref() {
-            Some(log) => log.reportable(wall),
+            Some(collector) => collector.reportable(wall),
             None => return,
         };
         let accepted = self.accepted;
@@ -130,7 +130,7 @@
         // What the predecessor of another era has sent is not known, so nothing is sent of any window
         // that it may have reported.
         let last_window = match self.duties.usage.borrow().as_ref() {
-            Some(log) => log.last_reported(self.wall()),
+            Some(collector) => collector.last_possibly_reported(self.wall()),
             None => 0,
         };
         self.write(token, journal.with_term(token.era(), last_window)).await
@@ -159,15 +159,15 @@
 
     /// Fixes what the report of a window says; `None` if nobody can vouch for it, or the write failed.
     async fn fix(&mut self, window: Window) -> Option<Report> {
-        let (report, reporters) = {
-            let log = self.duties.usage.borrow();
-            let log = log.as_ref()?;
-            (log.report(window), log.reporters(window))
+        let (report, reporting) = {
+            let collector = self.duties.usage.borrow();
+            let collector = collector.as_ref()?;
+            (collector.report(window), collector.reporting_gateways(window))
         };
         let is_open = self.stored.journal.as_ref().is_some_and(|j| j.is_open(window));
-        let gateways = self.shared.gateway.borrow().live_peers(clock::now()) + 1;
-        if !is_open || reporters * 2 < gateways {
-            self.leave_out(window, reporters);
+        let live = self.shared.gateway.borrow().live_peers(clock::now()) + 1;
+        if !is_open || reporting * 2 < live {
+            self.leave_out(window, reporting);
             return None;
         }
         let token = self.duties.election.borrow().active_token(clock::now())?;
@@ -177,16 +177,16 @@
         }
         let requests: u64 = report.counts.values().sum();
         let line = Line::new("usage_fixed").with("window", window).with("requests", requests);
-        self.shared.log(line.with("gateways", reporters).with("token", self.token));
+        self.shared.log(line.with("gateways", reporting).with("token", self.token));
         Some(report)
     }
 
-    fn leave_out(&mut self, window: Window, reporters: usize) {
+    fn leave_out(&mut self, window: Window, reporting: usize) {
         if window > self.left_out {
             self.left_out = window;
             self.shared.metrics.count("usage_windows_total", "outcome=\"left_out\"".to_owned());
             let line = Line::new("usage_left_out").with("window", window);
-            self.shared.log(line.with("gateways", reporters).with("token", self.token));
+            self.shared.log(line.with("gateways", reporting).with("token", self.token));
         }
     }
 
