--- a/core/src/gateway/fleet/replica.rs
+++ b/core/src/gateway/fleet/replica.rs
@@ -39,7 +39,7 @@
     /// An entry of which only the identity is known: it names no replica to use.
     pub fn unreadable(id: &str) -> Listing {
         Listing {
-            incarnation: Incarnation::unstated(id),
+            incarnation: Incarnation::without_start(id),
             service: String::new(),
             address: String::new(),
             domain: String::new(),
--- a/core/src/incarnation.rs
+++ b/core/src/incarnation.rs
@@ -21,7 +21,7 @@
     /// Identity, which outlives the run.
     pub id: String,
     /// Start in Unix milliseconds, if it is stated.
-    pub born: Option<u64>,
+    pub start_ms: Option<u64>,
 }
 
 /// Short hash of a run, unlike that of any other run of the same replica: what is said of one run
@@ -32,19 +32,19 @@
 
 impl Incarnation {
     /// A run without a stated start.
-    pub fn unstated(id: &str) -> Incarnation {
-        Incarnation { id: id.to_owned(), born: None }
+    pub fn without_start(id: &str) -> Incarnation {
+        Incarnation { id: id.to_owned(), start_ms: None }
     }
 
-    /// The run that began at `born`.
-    pub fn of(id: &str, born: u64) -> Incarnation {
-        Incarnation { id: id.to_owned(), born: Some(born) }
+    /// The run that began at `start_ms`.
+    pub fn new(id: &str, start_ms: u64) -> Incarnation {
+        Incarnation { id: id.to_owned(), start_ms: Some(start_ms) }
     }
 
     /// Hash of identity and start.
     pub fn hash(&self) -> u64 {
-        match self.born {
-            Some(born) => rendezvous::hash(&[self.id.as_bytes(), &born.to_le_bytes()]),
+        match self.start_ms {
+            Some(start_ms) => rendezvous::hash(&[self.id.as_bytes(), &start_ms.to_le_bytes()]),
             None => rendezvous::hash(&[self.id.as_bytes()]),
         }
     }
--- a/core/tests/gateway/loads.rs
+++ b/core/tests/gateway/loads.rs
@@ -78,13 +78,13 @@
 }
 
 fn snapshot(engine: &str, calls: u16, pending_prefill_ms: f32) -> Snapshot {
-    let engine = Incarnation::unstated(engine).digest();
+    let engine = Incarnation::without_start(engine).digest();
     Snapshot { engine, calls, pending_prefill_ms, interval_ms: 60.0 }
 }
 
 fn busy(gateway: &mut Gateway, now: Time, running: u16, waiting: u16) {
     let seen = |i: usize| Sighting {
-        replica: Incarnation::unstated(&format!("engine-{i}")).digest(),
+        replica: Incarnation::without_start(&format!("engine-{i}")).digest(),
         running,
         waiting,
         age_ms: 0,
--- a/core/tests/gateway/occupancy.rs
+++ b/core/tests/gateway/occupancy.rs
@@ -56,7 +56,7 @@
 
 /// Reports of all engines, as heard from a peer just now.
 fn all_busy(gateway: &mut Gateway, engines: usize, running: u16, waiting: u16) {
-    let replica = |i: usize| Incarnation::unstated(&format!("engine-{i}")).digest();
+    let replica = |i: usize| Incarnation::without_start(&format!("engine-{i}")).digest();
     let sighting = |i: usize| Sighting { replica: replica(i), running, waiting, age_ms: 0 };
     let loads = (0..engines).map(sighting).collect();
     let heartbeat = Heartbeat {
@@ -171,7 +171,7 @@
 
     let pick = pick(&mut gateway, &asked).unwrap();
 
-    let hash = Incarnation::unstated(&pick.id).digest();
+    let hash = Incarnation::without_start(&pick.id).digest();
     assert_eq!(hash, asked[1].engine);
 }
 
@@ -191,7 +191,7 @@
 
     let pick = gateway.pick(START, &call, &mut grant, &asked).unwrap();
 
-    let hash = Incarnation::unstated(&pick.id).digest();
+    let hash = Incarnation::without_start(&pick.id).digest();
     assert_eq!(asked.len(), 2);
     assert_eq!(hash, asked[1].engine);
 }
--- a/core/tests/gateway/restart.rs
+++ b/core/tests/gateway/restart.rs
@@ -29,11 +29,11 @@
 const PARTS: [(u64, u32); 2] = [(1, 6_300), (2, 2_890)];
 
 fn life(born: u64) -> Listing {
-    Listing { incarnation: Incarnation::of(ID, born), ..listing(ID) }
+    Listing { incarnation: Incarnation::new(ID, born), ..listing(ID) }
 }
 
 fn digest(born: u64) -> Digest {
-    Incarnation::of(ID, born).digest()
+    Incarnation::new(ID, born).digest()
 }
 
 fn list(gateway: &mut Gateway, now: Time, listings: Vec<Listing>) -> Vec<String> {
--- a/core/tests/gateway/returns.rs
+++ b/core/tests/gateway/returns.rs
@@ -96,14 +96,14 @@
 /// learnt of the one that is there would be lost, and answers counted for the other.
 #[test]
 fn the_former_run_of_a_replica_does_not_come_back() {
-    let life = |born| Listing { incarnation: Incarnation::of("a", born), ..listing("a") };
+    let life = |born| Listing { incarnation: Incarnation::new("a", born), ..listing("a") };
     let mut gateway = returned(&[life(BORN)], &[life(BORN + 5_000)]);
 
     read(&mut gateway, at(1_100), vec![life(BORN)]);
 
     let runs: Vec<&Incarnation> =
         gateway.fleet().iter().map(|replica| &replica.listing.incarnation).collect();
-    assert_eq!(runs, [&Incarnation::of("a", BORN + 5_000)]);
+    assert_eq!(runs, [&Incarnation::new("a", BORN + 5_000)]);
     assert_eq!(open(&gateway), ids(["a"]));
 }
 
--- a/core/tests/gateway/strays.rs
+++ b/core/tests/gateway/strays.rs
@@ -21,7 +21,7 @@
 use crate::support::gateway;
 
 fn engine(i: usize) -> Digest {
-    Incarnation::unstated(&format!("engine-{i}")).digest()
+    Incarnation::without_start(&format!("engine-{i}")).digest()
 }
 
 /// The engine that a chat goes to, with the expected time to its first event.
--- a/core/tests/gateway/support.rs
+++ b/core/tests/gateway/support.rs
@@ -83,7 +83,7 @@
 
 pub fn listing(id: &str) -> Listing {
     Listing {
-        incarnation: Incarnation::unstated(id),
+        incarnation: Incarnation::without_start(id),
         service: "engines".to_owned(),
         address: format!("{id}:8000"),
         domain: "mixco".to_owned(),
--- a/gateway/tests/decoders.rs
+++ b/gateway/tests/decoders.rs
@@ -62,7 +62,7 @@
 
 fn view() -> Vec<u8> {
     let listing = |id: &str| Listing {
-        incarnation: Incarnation::of(id, 1_764_700_000_000),
+        incarnation: Incarnation::new(id, 1_764_700_000_000),
         service: "s".to_owned(),
         address: "10.0.0.3:1".to_owned(),
         domain: "mixco".to_owned(),
--- a/gateway/tests/support/mod.rs
+++ b/gateway/tests/support/mod.rs
@@ -237,7 +237,7 @@
 
 pub fn listing(id: &str, address: SocketAddr) -> Listing {
     Listing {
-        incarnation: Incarnation::unstated(id),
+        incarnation: Incarnation::without_start(id),
         service: "service".to_owned(),
         address: address.to_string(),
         domain: "mixco".to_owned(),
