--- a/core/src/incarnation.rs
+++ b/core/src/incarnation.rs
@@ -21,6 +21,7 @@
     /// Identity, which outlives the run.
     pub id: String,
     /// Start in Unix milliseconds, if it is stated.
+    #[serde(rename = "born")]
     pub start_ms: Option<u64>,
 }
 
