--- a/core/src/gateway/state/attempts.rs
+++ b/core/src/gateway/state/attempts.rs
@@ -15,7 +15,7 @@
 
 impl Gateway {
     /// Notes that an attempt is sent to the replica of `pick`.
-    pub fn sent(&mut self, now: Time, ask: &Ask, grant: &mut Grant, pick: &mut Pick) {
+    pub fn record_sent(&mut self, now: Time, ask: &Ask, grant: &mut Grant, pick: &mut Pick) {
         grant.attempts += 1;
         grant.tried.push(pick.claim.replica);
         self.fleet.record_sent(now, &mut pick.claim, pick.engine, &ask.parts);
@@ -31,9 +31,9 @@
     }
 
     /// Notes an event, or the whole answer, of an attempt; `true` if it is the first.
-    pub fn event(&mut self, now: Time, claim: &mut Claim) -> bool {
+    pub fn record_event(&mut self, now: Time, claim: &mut Claim) -> bool {
         if !claim.first_event_seen {
-            self.first(now, claim);
+            self.record_first_event(now, claim);
             return true;
         }
         let gap = now.since(std::mem::replace(&mut claim.last_event, now));
@@ -49,7 +49,7 @@
     }
 
     /// Notes the first event or the whole answer of an attempt.
-    pub fn first(&mut self, now: Time, claim: &mut Claim) {
+    pub fn record_first_event(&mut self, now: Time, claim: &mut Claim) {
         let is_first = !claim.first_event_seen;
         self.fleet.record_first_event(now, claim);
         if is_first && let Some(service) = self.fleet.service_unless_straggler(claim.replica) {
@@ -65,7 +65,7 @@
     }
 
     /// Notes the end of an attempt that was sent.
-    pub fn done(&mut self, now: Time, claim: Claim, outcome: Outcome) {
+    pub fn record_end(&mut self, now: Time, claim: Claim, outcome: Outcome) {
         if let Some(tally) = self.tally(&claim) {
             tally.record_stream_end(claim.pause);
             if claim.first_event_seen {
@@ -87,7 +87,13 @@
     }
 
     /// Notes that a replica could not be sent an attempt.
-    pub fn unsent(&mut self, now: Time, grant: &mut Grant, key: Key<Replica>, outcome: Outcome) {
+    pub fn record_unsent(
+        &mut self,
+        now: Time,
+        grant: &mut Grant,
+        key: Key<Replica>,
+        outcome: Outcome,
+    ) {
         grant.tried.push(key);
         self.fleet.record_outcome(now, key, outcome);
     }
--- a/core/src/gateway/state/owner.rs
+++ b/core/src/gateway/state/owner.rs
@@ -50,7 +50,7 @@
 
     /// Records updates of a peer. Those of an unlisted incarnation are dropped: it is a former one, or not
     /// yet listed, and its snapshot would be incomplete anyway.
-    pub fn note(&mut self, now: Time, updates: &[Update]) {
+    pub fn record_updates(&mut self, now: Time, updates: &[Update]) {
         self.tidy(now);
         for update in updates.iter().filter(|update| self.fleet.contains(update.engine)) {
             self.occupancy.record(now, update);
--- a/core/src/gateway/state/poison.rs
+++ b/core/src/gateway/state/poison.rs
@@ -17,14 +17,14 @@
 
 impl Gateway {
     /// Records that the connection broke on which a replica ran a request.
-    pub fn broke(&mut self, now: Time, grant: &Grant, claim: &Claim) {
+    pub fn record_crash(&mut self, now: Time, grant: &Grant, claim: &Claim) {
         if let Some(fingerprint) = grant.fingerprint {
             self.quarantine.record_crash(now, fingerprint, claim.incarnation);
         }
     }
 
     /// Records a complete answer.
-    pub fn answered(&mut self, now: Time, grant: &Grant) {
+    pub fn record_answer(&mut self, now: Time, grant: &Grant) {
         if let Some(fingerprint) = grant.fingerprint {
             self.quarantine.record_answer(now, fingerprint);
         }
--- a/core/tests/gateway/agreement.rs
+++ b/core/tests/gateway/agreement.rs
@@ -181,7 +181,7 @@
             return;
         };
         if let Ok(mut pick) = gateway.pick(self.now, &call, &mut grant, &[]) {
-            gateway.sent(self.now, &call, &mut grant, &mut pick);
+            gateway.record_sent(self.now, &call, &mut grant, &mut pick);
             self.calls.push(Call { at, chat, grant, pick, began: self.now, events: 0 });
         }
     }
@@ -196,12 +196,12 @@
                 continue;
             }
             call.events += 1;
-            self.gateways[call.at].event(now, &mut call.pick.claim);
+            self.gateways[call.at].record_event(now, &mut call.pick.claim);
         }
         open.retain(|call| {
             let ends = call.events >= if call.chat { 40 } else { 7 };
             if ends {
-                self.gateways[call.at].done(now, call.pick.claim, Outcome::Answered);
+                self.gateways[call.at].record_end(now, call.pick.claim, Outcome::Answered);
             }
             !ends
         });
--- a/core/tests/gateway/fleet.rs
+++ b/core/tests/gateway/fleet.rs
@@ -181,9 +181,9 @@
     let call = ask("report", &[]);
     let mut grant = gateway.admit(START, &call).unwrap();
     let mut pick = gateway.pick(START, &call, &mut grant, &[]).unwrap();
-    gateway.sent(START, &call, &mut grant, &mut pick);
+    gateway.record_sent(START, &call, &mut grant, &mut pick);
 
-    gateway.done(START, pick.claim, Outcome::Replaced);
+    gateway.record_end(START, pick.claim, Outcome::Replaced);
 
     let next: Vec<Option<String>> = (0..5).map(|_| chosen(&mut gateway, START)).collect();
     assert!(next.iter().all(|id| id.as_ref().is_some_and(|id| *id != pick.id)));
@@ -197,7 +197,7 @@
     let call = ask("report", &[]);
     let mut grant = gateway.admit(START, &call).unwrap();
     let first = gateway.pick(START, &call, &mut grant, &[]).unwrap();
-    gateway.unsent(START, &mut grant, first.claim.replica, Outcome::Unreachable);
+    gateway.record_unsent(START, &mut grant, first.claim.replica, Outcome::Unreachable);
 
     let usable = |ms: u64| gateway.fleet().usable(START + Span::millis(ms), "engines");
 
--- a/core/tests/gateway/loads.rs
+++ b/core/tests/gateway/loads.rs
@@ -37,7 +37,7 @@
     let call = ask(route, parts);
     let mut grant = gateway.admit(now, &call)?;
     let mut pick = gateway.pick(now, &call, &mut grant, &[])?;
-    gateway.sent(now, &call, &mut grant, &mut pick);
+    gateway.record_sent(now, &call, &mut grant, &mut pick);
     Ok(pick)
 }
 
@@ -124,8 +124,8 @@
         let a = send(&mut one, START, "report", &report(thing, thing)).unwrap();
         let b = send(&mut two, START, "report", &report(thing, 100 + thing)).unwrap();
         assert_eq!(a.id, b.id, "thing {thing}");
-        one.done(START, a.claim, laburnumwheel_core::gateway::fleet::Outcome::Answered);
-        two.done(START, b.claim, laburnumwheel_core::gateway::fleet::Outcome::Answered);
+        one.record_end(START, a.claim, laburnumwheel_core::gateway::fleet::Outcome::Answered);
+        two.record_end(START, b.claim, laburnumwheel_core::gateway::fleet::Outcome::Answered);
     }
 }
 
@@ -217,7 +217,7 @@
     let call = ask("report", &report(1, 1));
     let mut grant = gateway.admit(START, &call).unwrap();
     let mut pick = gateway.pick(START, &call, &mut grant, &[]).unwrap();
-    gateway.sent(START, &call, &mut grant, &mut pick);
+    gateway.record_sent(START, &call, &mut grant, &mut pick);
     busy(&mut gateway, START + Span::millis(10), 16, 40);
 
     let again = gateway.pick(START + Span::millis(20), &call, &mut grant, &[]);
--- a/core/tests/gateway/occupancy.rs
+++ b/core/tests/gateway/occupancy.rs
@@ -226,11 +226,11 @@
     let mut grant = gateway.admit(START, &call).unwrap();
     let mut pick = gateway.pick(START, &call, &mut grant, &[]).unwrap();
 
-    gateway.sent(START, &call, &mut grant, &mut pick);
-    gateway.first(START, &mut pick.claim);
-    gateway.first(START, &mut pick.claim);
+    gateway.record_sent(START, &call, &mut grant, &mut pick);
+    gateway.record_first_event(START, &mut pick.claim);
+    gateway.record_first_event(START, &mut pick.claim);
     let outcome = laburnumwheel_core::gateway::fleet::Outcome::Cancelled;
-    gateway.done(START, pick.claim, outcome);
+    gateway.record_end(START, pick.claim, outcome);
     let mut told = gateway.drain_updates(START).into_values().flatten().map(|n| n.change);
 
     // A gateway that keeps the engine itself has nothing to tell.
--- a/core/tests/gateway/quarantine.rs
+++ b/core/tests/gateway/quarantine.rs
@@ -284,7 +284,7 @@
     let mut grant = gateway.admit(now, call).unwrap();
     grant.fingerprint = Some(fingerprint);
     let mut pick = gateway.pick(now, call, &mut grant, &[]).ok()?;
-    gateway.sent(now, call, &mut grant, &mut pick);
+    gateway.record_sent(now, call, &mut grant, &mut pick);
     Some((grant, pick.claim))
 }
 
@@ -297,9 +297,9 @@
         };
         let listing = &gateway.fleet().get(claim.replica).unwrap().listing;
         engines.insert(listing.incarnation.id.clone());
-        gateway.broke(at(second), &grant, &claim);
-        gateway.done(at(second), claim, Outcome::Failed);
-        gateway.unsent(at(second), &mut grant.clone(), claim.replica, Outcome::Unreachable);
+        gateway.record_crash(at(second), &grant, &claim);
+        gateway.record_end(at(second), claim, Outcome::Failed);
+        gateway.record_unsent(at(second), &mut grant.clone(), claim.replica, Outcome::Unreachable);
     }
     engines
 }
@@ -331,8 +331,8 @@
     let mut claims = Vec::new();
     while claims.len() < CRASH_THRESHOLD {
         let (grant, claim) = sent(&mut gateway, START, &call, HARMLESS).unwrap();
-        gateway.broke(START, &grant, &claim);
-        gateway.unsent(START, &mut grant.clone(), claim.replica, Outcome::Unreachable);
+        gateway.record_crash(START, &grant, &claim);
+        gateway.record_unsent(START, &mut grant.clone(), claim.replica, Outcome::Unreachable);
         claims.push(claim);
     }
     let before = gateway.fingerprints_quarantined(START);
@@ -363,7 +363,7 @@
     after.confirm_view(at(20));
     let mut grant = after.admit(at(20), &call).unwrap();
     grant.fingerprint = Some(DEADLY);
-    after.answered(at(30), &grant);
+    after.record_answer(at(30), &grant);
 
     assert!(held);
     assert_eq!(again, None);
--- a/core/tests/gateway/restart.rs
+++ b/core/tests/gateway/restart.rs
@@ -59,7 +59,7 @@
 fn send(gateway: &mut Gateway, now: Time) -> Pick {
     let call = ask("report", &PARTS);
     let (mut grant, mut pick) = pick(gateway, now);
-    gateway.sent(now, &call, &mut grant, &mut pick);
+    gateway.record_sent(now, &call, &mut grant, &mut pick);
     pick
 }
 
@@ -93,7 +93,7 @@
 fn all_that_was_learnt_goes_with_the_life_it_was_learnt_of() {
     let mut gateway = before(FIRST);
     let mut running = send(&mut gateway, START);
-    gateway.first(START, &mut running.claim);
+    gateway.record_first_event(START, &mut running.claim);
     gateway.record_activity(
         START,
         &running.claim,
@@ -119,7 +119,7 @@
 fn rest_failures_and_drain_marks_end_with_the_life() {
     let mut gateway = before(FIRST);
     let (mut grant, first) = pick(&mut gateway, START);
-    gateway.unsent(START, &mut grant, first.claim.replica, Outcome::Unreachable);
+    gateway.record_unsent(START, &mut grant, first.claim.replica, Outcome::Unreachable);
     let resting = gateway.fleet().usable(START, "engines");
     list(&mut gateway, START, vec![Listing { leaving: true, ..life(FIRST) }]);
 
@@ -141,9 +141,9 @@
     send(&mut gateway, START);
     let before = seen(&mut gateway, START);
 
-    gateway.first(START, &mut former.claim);
+    gateway.record_first_event(START, &mut former.claim);
     gateway.record_activity(START, &former.claim, Some(Load { running: 9, waiting: 9, slots: 16 }));
-    gateway.done(START, former.claim, Outcome::Replaced);
+    gateway.record_end(START, former.claim, Outcome::Replaced);
 
     assert_eq!(seen(&mut gateway, START), before);
     assert_eq!(gateway.fleet().iter().map(|r| r.own()).collect::<Vec<_>>(), [1]);
@@ -176,7 +176,7 @@
     list(&mut gateway, START, vec![life(SECOND)]);
     gateway.snapshots(START, &[digest(SECOND)]);
 
-    gateway.note(START, &[update(digest(FIRST), 1), update(digest(FIRST), 2)]);
+    gateway.record_updates(START, &[update(digest(FIRST), 1), update(digest(FIRST), 2)]);
 
     let later = START + Span::secs(2);
     let snapshots = gateway.snapshots(later, &[digest(FIRST), digest(SECOND)]);
--- a/core/tests/gateway/strays.rs
+++ b/core/tests/gateway/strays.rs
@@ -64,7 +64,7 @@
         let mut gateway = gateway(3);
         gateway.snapshots(START, &[engine(0)]);
         let update = Update { engine: engine(0), call: 1, change: Change::Sent(told) };
-        gateway.note(START, &[update]);
+        gateway.record_updates(START, &[update]);
         let kept = gateway.snapshots(START + Span::secs(2), &[engine(0)]);
         let wild =
             Snapshot { engine: engine(1), calls, pending_prefill_ms: unread, interval_ms: interval };
--- a/gateway/src/attempt.rs
+++ b/gateway/src/attempt.rs
@@ -146,7 +146,7 @@
     /// Notes the end of the attempt.
     pub fn end(&self, outcome: Outcome) {
         if !self.ended.replace(true) {
-            self.shared.gateway.borrow_mut().done(clock::now(), self.claim, outcome);
+            self.shared.gateway.borrow_mut().record_end(clock::now(), self.claim, outcome);
             self.shared.updates_waiting.notify_one();
         }
     }
@@ -159,7 +159,7 @@
 
     /// Notes events, or the whole answer.
     pub fn record_event(&mut self) {
-        let first = self.shared.gateway.borrow_mut().event(clock::now(), &mut self.claim);
+        let first = self.shared.gateway.borrow_mut().record_event(clock::now(), &mut self.claim);
         if first {
             self.shared.updates_waiting.notify_one();
         }
@@ -260,7 +260,7 @@
     fn unsent(&mut self, pick: &Pick, fault: Fault, error: &str) -> Failure {
         let mut gateway = self.shared.gateway.borrow_mut();
         let outcome = fault.outcome();
-        gateway.unsent(clock::now(), &mut self.grant, pick.claim.replica, outcome);
+        gateway.record_unsent(clock::now(), &mut self.grant, pick.claim.replica, outcome);
         drop(gateway);
         let line = Line::new("replica_unreachable")
             .with("request", String::from_utf8_lossy(&self.ask.id))
@@ -314,7 +314,7 @@
         request: Request<Full<Bytes>>,
     ) -> Result<Exchange, Failure> {
         let now = clock::now();
-        self.shared.gateway.borrow_mut().sent(now, &self.ask, &mut self.grant, pick);
+        self.shared.gateway.borrow_mut().record_sent(now, &self.ask, &mut self.grant, pick);
         self.shared.updates_waiting.notify_one();
         let shared = self.shared.clone();
         let mut in_flight = InFlight { shared, claim: pick.claim, ended: Cell::new(false) };
@@ -404,7 +404,7 @@
 
     /// Notes that a replica has run the call to its end.
     pub fn record_completion(&self) {
-        self.shared.gateway.borrow_mut().answered(clock::now(), &self.grant);
+        self.shared.gateway.borrow_mut().record_answer(clock::now(), &self.grant);
     }
 
     /// Counts the call for its organisation, once, as one that began to run at `at`.
@@ -422,7 +422,7 @@
         }
         if fault == Fault::Broken {
             let mut gateway = self.shared.gateway.borrow_mut();
-            gateway.broke(clock::now(), &self.grant, &in_flight.claim);
+            gateway.record_crash(clock::now(), &self.grant, &in_flight.claim);
         }
         in_flight.end(fault.outcome());
         self.record_failure(replica, fault);
--- a/gateway/src/peers.rs
+++ b/gateway/src/peers.rs
@@ -305,7 +305,7 @@
                 }
             }
             Message::Updates(updates) => {
-                shared.gateway.borrow_mut().note(clock::now(), &updates);
+                shared.gateway.borrow_mut().record_updates(clock::now(), &updates);
             }
             Message::Report(report) => {
                 shared.gateway.borrow_mut().receive_report(clock::now(), &report);
