--- a/core/src/gateway/freshness.rs
+++ b/core/src/gateway/freshness.rs
@@ -24,12 +24,12 @@
     }
 
     /// Notes a sound read that was sent at `sent`.
-    pub fn prove(&mut self, sent: Time) {
+    pub fn record_proof(&mut self, sent: Time) {
         self.proved = self.proved.max(Some(sent));
     }
 
     /// When the newest sound read was sent.
-    pub fn proved(&self) -> Option<Time> {
+    pub fn proved_at(&self) -> Option<Time> {
         self.proved
     }
 
--- a/core/src/gateway/state.rs
+++ b/core/src/gateway/state.rs
@@ -76,7 +76,7 @@
     /// Its entry in the directory.
     pub entry: Entry,
     /// Longest age of the proof that lets keys be honoured.
-    pub revocation: Option<Span>,
+    pub max_proof_age: Option<Span>,
     /// Retry budget of all gateways together.
     pub budget: budget::Rules,
     /// Seed of random choices.
@@ -165,7 +165,7 @@
             began: now,
             rng: SmallRng::seed_from_u64(settings.seed),
             config: None,
-            freshness: Freshness::new(settings.revocation),
+            freshness: Freshness::new(settings.max_proof_age),
             fleet: Fleet::default(),
             directory: Directory::default(),
             budgets: BTreeMap::new(),
@@ -284,8 +284,8 @@
     }
 
     /// When the read was sent that proved last what the store held.
-    pub fn proved(&self) -> Option<Time> {
-        self.freshness.proved()
+    pub fn proved_at(&self) -> Option<Time> {
+        self.freshness.proved_at()
     }
 
     /// Age of the proof that the configuration is the newest.
--- a/core/src/gateway/state/reads.rs
+++ b/core/src/gateway/state/reads.rs
@@ -36,7 +36,7 @@
 
     fn prove(&mut self, sent: Time) {
         if !self.returned.may_lack(sent) {
-            self.freshness.prove(sent);
+            self.freshness.record_proof(sent);
         }
     }
 
@@ -84,7 +84,7 @@
     /// Notes that a peer's proof covers what this gateway knows: nothing had changed at `sent`.
     /// Returns replicas that are closed by it, as their entries did not come back.
     pub fn confirm_view(&mut self, sent: Time) -> Vec<String> {
-        self.freshness.prove(sent);
+        self.freshness.record_proof(sent);
         if self.outage.is_over(sent) { self.fleet.close_retained() } else { Vec::new() }
     }
 
--- a/core/tests/gateway/freshness.rs
+++ b/core/tests/gateway/freshness.rs
@@ -46,7 +46,7 @@
     gateway.confirm_view(asked - age);
     gateway.confirm_view(asked - Span::secs(2));
 
-    assert_eq!(gateway.proved(), Some(START + Span::secs(2)));
+    assert_eq!(gateway.proved_at(), Some(START + Span::secs(2)));
     assert!(gateway.admit(START + Span::millis(6_400), &ask("report", &[])).is_ok());
     assert!(gateway.admit(START + Span::millis(6_600), &ask("report", &[])).is_err());
 }
--- a/core/tests/gateway/returns.rs
+++ b/core/tests/gateway/returns.rs
@@ -166,11 +166,11 @@
     gateway.store_returned(at(1_000));
 
     gateway.learn(at(1_100), Some(Arc::new(config(1))));
-    let within = gateway.proved();
+    let within = gateway.proved_at();
     gateway.learn(at(1_000) + REWRITTEN, Some(Arc::new(config(1))));
 
     assert_eq!(within, Some(START));
-    assert_eq!(gateway.proved(), Some(at(1_000) + REWRITTEN));
+    assert_eq!(gateway.proved_at(), Some(at(1_000) + REWRITTEN));
 }
 
 /// What the operator writes again comes into force at once, and what the copy holds never does.
--- a/core/tests/gateway/routes.rs
+++ b/core/tests/gateway/routes.rs
@@ -67,7 +67,7 @@
 
     assert!(!newer);
     assert_eq!(gateway.version(), 5);
-    assert_eq!(gateway.proved(), Some(START + Span::secs(1)));
+    assert_eq!(gateway.proved_at(), Some(START + Span::secs(1)));
 }
 
 /// A call is admitted, waits for a connection, and meanwhile its route is moved to another
--- a/core/tests/gateway/support.rs
+++ b/core/tests/gateway/support.rs
@@ -40,7 +40,7 @@
 pub fn settings(name: &str) -> Settings {
     Settings {
         entry: entry(name),
-        revocation: Some(Span::secs(5)),
+        max_proof_age: Some(Span::secs(5)),
         budget: budget::Rules { ratio: 0.2, extra: 58.0, window: Span::secs(10) },
         seed: 7,
     }
--- a/gateway/src/store.rs
+++ b/gateway/src/store.rs
@@ -348,7 +348,7 @@
 /// Takes a view in; `proves` if it shows which configuration is the newest.
 fn take(shared: &Shared, sent: Time, known: Snapshot, from: Source, proves: bool) {
     // A reader that lags must not bring a replica back that is known to have left.
-    if shared.gateway.borrow().proved().is_some_and(|proved| sent < proved) {
+    if shared.gateway.borrow().proved_at().is_some_and(|proved| sent < proved) {
         shared.metrics.count("views_total", format!("from=\"{from}\",taken=\"too_old\""));
         return;
     }
--- a/gateway/tests/support/mod.rs
+++ b/gateway/tests/support/mod.rs
@@ -304,7 +304,7 @@
             incarnation: 1,
             weight: 100,
         },
-        revocation: Some(Span::secs(30)),
+        max_proof_age: Some(Span::secs(30)),
         budget: budget::Rules { ratio: 5.0, extra: 0.0, window: Span::secs(10) },
         seed: 1,
     }
