--- a/core/src/gateway/mod.rs
+++ b/core/src/gateway/mod.rs
@@ -28,7 +28,7 @@
 pub mod prefill;
 pub mod quarantine;
 pub mod refusal;
-mod returned;
+mod rollback;
 mod state;
 pub mod tally;
 pub mod usage;
--- a/core/src/gateway/outage.rs
+++ b/core/src/gateway/outage.rs
@@ -45,16 +45,16 @@
     /// missing no silence is needed: two short outages in a row have an answer in between. Where
     /// few are, they are taken for gone; after a short outage that closes less than half of each
     /// service until the next renewal, for a second or two.
-    pub fn may_have_lapsed(&mut self, sent: Time, now: Time, absence: Absence) -> bool {
+    pub fn record_list(&mut self, sent: Time, now: Time, absence: Absence) -> bool {
         let silent = self.asked.is_some_and(|last| now.since(last) > OUTAGE);
         if absence.most_at_once || (silent && absence.most_of_a_service) {
             self.returned = Some(now);
         }
-        !self.is_over(sent)
+        !self.record_reply(sent)
     }
 
     /// Records an answer to a call that was sent at `sent`; returns whether what it lacks is gone.
-    pub fn is_over(&mut self, sent: Time) -> bool {
+    pub fn record_reply(&mut self, sent: Time) -> bool {
         self.asked = self.asked.max(Some(sent));
         self.returned = self.returned.filter(|at| sent < *at + RETURN);
         self.returned.is_none()
--- a/core/src/gateway/returned.rs
+++ b/core/src/gateway/rollback.rs
@@ -15,23 +15,23 @@
 
 /// The last return of the store.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Return {
+pub struct Rollback {
     at: Option<Time>,
 }
 
-impl Return {
+impl Rollback {
     /// Notes a return that showed at `now`.
-    pub fn begin(&mut self, now: Time) {
+    pub fn record(&mut self, now: Time) {
         self.at = Some(now);
     }
 
     /// Whether a read that was sent at `sent` may lack what others have yet to write again.
-    pub fn may_lack(&self, sent: Time) -> bool {
+    pub fn may_miss_entries(&self, sent: Time) -> bool {
         self.at.is_some_and(|at| sent < at + REWRITTEN)
     }
 
     /// Whether a read that was sent at `sent` may show entries whose holders are gone.
-    pub fn may_show_gone(&self, sent: Time) -> bool {
+    pub fn may_hold_stale_entries(&self, sent: Time) -> bool {
         self.at.is_some_and(|at| sent < at + LAPSED)
     }
 }
--- a/core/src/gateway/state.rs
+++ b/core/src/gateway/state.rs
@@ -45,7 +45,7 @@
 use super::quarantine::Quarantine;
 use super::refusal::Reason;
 use super::refusal::Refusal;
-use super::returned::Return;
+use super::rollback::Rollback;
 use super::tally::Tally;
 use crate::arena::Key;
 use crate::rendezvous;
@@ -152,7 +152,7 @@
     occupancy: Occupancy,
     tidied: Time,
     outage: Outage,
-    returned: Return,
+    rollback: Rollback,
     /// Newest version in peers' heartbeats of this gateway's first seconds.
     told_version: u64,
     stop: Option<Stop>,
@@ -178,7 +178,7 @@
             occupancy: Occupancy::default(),
             tidied: now,
             outage: Outage::default(),
-            returned: Return::default(),
+            rollback: Rollback::default(),
             told_version: 0,
             stop: None,
             settings,
--- a/core/src/gateway/state/reads.rs
+++ b/core/src/gateway/state/reads.rs
@@ -18,7 +18,7 @@
     ///
     /// A version that is older than one known before is never taken. What the store holds right after a
     /// return may be older than what it held before, so it proves nothing.
-    pub fn learn(&mut self, sent: Time, config: Option<Arc<Config>>) -> bool {
+    pub fn record_read(&mut self, sent: Time, config: Option<Arc<Config>>) -> bool {
         let known = self.version();
         match config {
             Some(config) if config.version > known => {
@@ -35,21 +35,21 @@
     }
 
     fn prove(&mut self, sent: Time) {
-        if !self.returned.may_lack(sent) {
+        if !self.rollback.may_miss_entries(sent) {
             self.freshness.record_proof(sent);
         }
     }
 
     /// Notes that the store came back from an older copy.
-    pub fn store_returned(&mut self, now: Time) {
-        self.returned.begin(now);
+    pub fn record_rollback(&mut self, now: Time) {
+        self.rollback.record(now);
     }
 
     /// The list of replicas that was asked for at `sent`, with what is known put before it if the
     /// store may have gone back.
     pub fn amend(&self, sent: Time, replicas: Vec<Listing>) -> Vec<Listing> {
-        match self.returned.may_show_gone(sent) {
-            true => self.fleet.reconcile(replicas, self.returned.may_lack(sent)),
+        match self.rollback.may_hold_stale_entries(sent) {
+            true => self.fleet.reconcile(replicas, self.rollback.may_miss_entries(sent)),
             false => replicas,
         }
     }
@@ -67,7 +67,7 @@
 
     /// Takes the lists of replicas and gateways in, which were asked for at `sent`; returns what
     /// changed of the replicas.
-    pub fn list(
+    pub fn update_lists(
         &mut self,
         sent: Time,
         now: Time,
@@ -77,7 +77,7 @@
         let own = self.settings.entry.name.clone();
         self.directory.list(now, gateways.into_iter().filter(|e| e.name != own).collect());
         let absence = self.fleet.absence(&replicas);
-        let keep = self.outage.may_have_lapsed(sent, now, absence);
+        let keep = self.outage.record_list(sent, now, absence);
         self.fleet.update(now, replicas, keep)
     }
 
@@ -85,7 +85,7 @@
     /// Returns replicas that are closed by it, as their entries did not come back.
     pub fn confirm_view(&mut self, sent: Time) -> Vec<String> {
         self.freshness.record_proof(sent);
-        if self.outage.is_over(sent) { self.fleet.close_retained() } else { Vec::new() }
+        if self.outage.record_reply(sent) { self.fleet.close_retained() } else { Vec::new() }
     }
 
     /// Notes the version that a peer serves by.
--- a/core/tests/gateway/agreement.rs
+++ b/core/tests/gateway/agreement.rs
@@ -107,8 +107,8 @@
     fn read_store(&mut self) {
         let config = Arc::new(config(1));
         for gateway in &mut self.gateways {
-            gateway.learn(self.now, Some(Arc::clone(&config)));
-            gateway.list(self.now, self.now, listings(self.engines), self.entries.clone());
+            gateway.record_read(self.now, Some(Arc::clone(&config)));
+            gateway.update_lists(self.now, self.now, listings(self.engines), self.entries.clone());
         }
     }
 
--- a/core/tests/gateway/fleet.rs
+++ b/core/tests/gateway/fleet.rs
@@ -41,7 +41,7 @@
     let mut leaving = listings(2);
     leaving[0].leaving = true;
 
-    let changes = gateway.list(START, START, leaving, vec![]);
+    let changes = gateway.update_lists(START, START, leaving, vec![]);
 
     assert_eq!(changes.closed, ["engine-0"]);
     assert_eq!(chosen(&mut gateway, START).as_deref(), Some("engine-1"));
@@ -52,7 +52,7 @@
 fn a_replica_whose_entry_is_gone_gets_nothing_new() {
     let mut gateway = gateway(2);
 
-    gateway.list(
+    gateway.update_lists(
         START + Span::millis(600),
         START + Span::millis(600),
         vec![listing("engine-1")],
@@ -72,11 +72,15 @@
         gateway.receive(now, &heartbeat("two", Span::millis(200)));
     }
     let sent = START + Span::millis(2_600);
-    gateway.learn(sent, None);
+    gateway.record_read(sent, None);
     let now = sent + Span::millis(950);
 
-    let changes =
-        gateway.list(sent, now, vec![listing("engine-1")], vec![entry("one"), entry("two")]);
+    let changes = gateway.update_lists(
+        sent,
+        now,
+        vec![listing("engine-1")],
+        vec![entry("one"), entry("two")],
+    );
 
     assert_eq!(changes.closed, ["engine-0"]);
     assert_eq!(chosen(&mut gateway, now).as_deref(), Some("engine-1"));
@@ -90,9 +94,9 @@
     let back = START + Span::secs(4);
     gateway.receive(back, &heartbeat("two", Span(0)));
     let now = back + Span::millis(500);
-    gateway.learn(now, None);
+    gateway.record_read(now, None);
 
-    let changes = gateway.list(now, now, vec![], vec![entry("one"), entry("two")]);
+    let changes = gateway.update_lists(now, now, vec![], vec![entry("one"), entry("two")]);
 
     assert_eq!(changes.retained, ["engine-0", "engine-1"]);
     assert!(chosen(&mut gateway, now).is_some());
@@ -111,10 +115,14 @@
     }
     let now = START + Span::millis(2_600);
     let sent = START + Span::millis(1_700);
-    gateway.learn(sent, None);
+    gateway.record_read(sent, None);
 
-    let changes =
-        gateway.list(sent, now, vec![listing("engine-1")], vec![entry("one"), entry("two")]);
+    let changes = gateway.update_lists(
+        sent,
+        now,
+        vec![listing("engine-1")],
+        vec![entry("one"), entry("two")],
+    );
 
     assert_eq!(changes.closed, ["engine-0"]);
     assert_eq!(chosen(&mut gateway, now).as_deref(), Some("engine-1"));
@@ -126,11 +134,11 @@
 fn entries_that_lapsed_in_an_outage_are_kept_until_they_can_be_back() {
     let mut gateway = gateway(3);
     let back = START + Span::secs(4);
-    gateway.learn(back, None);
+    gateway.record_read(back, None);
 
-    gateway.list(back, back, vec![], vec![]);
+    gateway.update_lists(back, back, vec![], vec![]);
     let at_once = chosen(&mut gateway, back);
-    gateway.list(
+    gateway.update_lists(
         back + Span::millis(2_300),
         back + Span::millis(2_300),
         vec![listing("engine-2")],
@@ -148,12 +156,12 @@
 fn a_replica_whose_entry_is_unreadable_gets_nothing_also_after_an_outage() {
     let mut gateway = gateway(3);
     let back = START + Span::secs(4);
-    gateway.learn(back, None);
+    gateway.record_read(back, None);
 
-    let changes = gateway.list(back, back, vec![Listing::unreadable("engine-0")], vec![]);
+    let changes = gateway.update_lists(back, back, vec![Listing::unreadable("engine-0")], vec![]);
     let used = gateway.fleet().usable(back, "engines");
     let whole = back + Span::millis(500);
-    gateway.list(whole, whole, listings(3), vec![]);
+    gateway.update_lists(whole, whole, listings(3), vec![]);
 
     assert_eq!(changes.closed, ["engine-0"]);
     assert_eq!(changes.retained, ["engine-1", "engine-2"]);
@@ -167,7 +175,7 @@
     let mut listed = listings(1);
     listed.push(Listing::unreadable("stray"));
 
-    let changes = gateway.list(START, START, listed, vec![]);
+    let changes = gateway.update_lists(START, START, listed, vec![]);
 
     assert!(changes.added.is_empty() && changes.closed.is_empty());
     assert_eq!(gateway.fleet().iter().count(), 1);
@@ -222,7 +230,7 @@
 fn gateways_list_one_another_without_themselves() {
     let mut gateway = gateway(1);
 
-    gateway.list(START, START, listings(1), vec![entry("one"), entry("two")]);
+    gateway.update_lists(START, START, listings(1), vec![entry("one"), entry("two")]);
 
     assert_eq!(gateway.peers(), ["two:2"]);
 }
--- a/core/tests/gateway/loads.rs
+++ b/core/tests/gateway/loads.rs
@@ -118,7 +118,7 @@
     let mut two = gateway(0);
     let mut listed = crate::support::listings(ENGINES);
     listed.reverse();
-    two.list(START, START, listed, vec![]);
+    two.update_lists(START, START, listed, vec![]);
 
     for thing in 0..40 {
         let a = send(&mut one, START, "report", &report(thing, thing)).unwrap();
--- a/core/tests/gateway/outage.rs
+++ b/core/tests/gateway/outage.rs
@@ -35,9 +35,9 @@
 /// Takes in what a read that was sent at `sent` and answered after `took` found of `replicas`;
 /// returns those that are used although they were not found.
 fn read(gateway: &mut Gateway, sent: Time, took: Span, replicas: &[&str]) -> Vec<String> {
-    gateway.learn(sent, None);
+    gateway.record_read(sent, None);
     let found = replicas.iter().map(|id| listing(id)).collect();
-    gateway.list(sent, sent + took, found, vec![entry("one"), entry("two")]).retained
+    gateway.update_lists(sent, sent + took, found, vec![entry("one"), entry("two")]).retained
 }
 
 /// Callers are refused for want of replicas after an outage of four seconds, although all live.
@@ -160,11 +160,11 @@
     for id in ["bid-0", "bid-1"] {
         both.push(Listing { service: "bids".to_owned(), ..listing(id) });
     }
-    gateway.learn(at(10), None);
-    gateway.list(at(10), at(20), both, vec![]);
-    gateway.learn(at(3_100), None);
+    gateway.record_read(at(10), None);
+    gateway.update_lists(at(10), at(20), both, vec![]);
+    gateway.record_read(at(3_100), None);
 
-    gateway.list(at(3_100), at(3_110), crate::support::listings(4), vec![]);
+    gateway.update_lists(at(3_100), at(3_110), crate::support::listings(4), vec![]);
 
     assert_eq!(gateway.fleet().usable(at(3_110), "bids"), 2);
 }
--- a/core/tests/gateway/restart.rs
+++ b/core/tests/gateway/restart.rs
@@ -37,7 +37,7 @@
 }
 
 fn list(gateway: &mut Gateway, now: Time, listings: Vec<Listing>) -> Vec<String> {
-    gateway.list(now, now, listings, vec![]).replaced
+    gateway.update_lists(now, now, listings, vec![]).replaced
 }
 
 /// A gateway before a single engine in its first life.
@@ -210,9 +210,9 @@
     let others = ["engine-1", "engine-2"].map(listing);
     list(&mut gateway, START, [vec![life(FIRST)], others.to_vec()].concat());
     let back = START + Span::secs(4);
-    gateway.learn(back, None);
+    gateway.record_read(back, None);
 
-    let changes = gateway.list(back, back, vec![life(SECOND)], vec![]);
+    let changes = gateway.update_lists(back, back, vec![life(SECOND)], vec![]);
 
     assert_eq!(changes.replaced, [ID]);
     assert_eq!(changes.retained, ["engine-1", "engine-2"]);
--- a/core/tests/gateway/returns.rs
+++ b/core/tests/gateway/returns.rs
@@ -29,7 +29,7 @@
 /// Takes a list in as a read of the store does.
 fn read(gateway: &mut Gateway, now: Time, listings: Vec<Listing>) {
     let amended = gateway.amend(now, listings);
-    gateway.list(now, now, amended, Vec::new());
+    gateway.update_lists(now, now, amended, Vec::new());
 }
 
 fn open(gateway: &Gateway) -> BTreeSet<String> {
@@ -46,7 +46,7 @@
     let mut gateway = gateway(0);
     read(&mut gateway, at(0), before.to_vec());
     read(&mut gateway, at(500), after.to_vec());
-    gateway.store_returned(at(1_000));
+    gateway.record_rollback(at(1_000));
     gateway
 }
 
@@ -133,7 +133,7 @@
     read(&mut gateway, at(0), both.to_vec());
     read(&mut gateway, at(500), one.to_vec());
     read(&mut gateway, at(900), both.to_vec());
-    gateway.store_returned(at(1_000));
+    gateway.record_rollback(at(1_000));
 
     let leaving = Listing { leaving: true, ..listing("b") };
     read(&mut gateway, at(1_100), vec![listing("a"), leaving]);
@@ -149,7 +149,7 @@
     read(&mut gateway, at(1_100), old.to_vec());
     read(&mut gateway, at(3_300), new.to_vec());
 
-    gateway.store_returned(at(8_000));
+    gateway.record_rollback(at(8_000));
     read(&mut gateway, at(8_100), old.to_vec());
     let second = open(&gateway);
     read(&mut gateway, at(17_000), old.to_vec());
@@ -163,11 +163,11 @@
 #[test]
 fn a_read_within_the_return_proves_no_freshness() {
     let mut gateway = gateway(1);
-    gateway.store_returned(at(1_000));
+    gateway.record_rollback(at(1_000));
 
-    gateway.learn(at(1_100), Some(Arc::new(config(1))));
+    gateway.record_read(at(1_100), Some(Arc::new(config(1))));
     let within = gateway.proved_at();
-    gateway.learn(at(1_000) + REWRITTEN, Some(Arc::new(config(1))));
+    gateway.record_read(at(1_000) + REWRITTEN, Some(Arc::new(config(1))));
 
     assert_eq!(within, Some(START));
     assert_eq!(gateway.proved_at(), Some(at(1_000) + REWRITTEN));
@@ -177,12 +177,12 @@
 #[test]
 fn the_version_in_force_never_goes_back() {
     let mut gateway = gateway(1);
-    gateway.learn(at(500), Some(Arc::new(config(5))));
-    gateway.store_returned(at(1_000));
+    gateway.record_read(at(500), Some(Arc::new(config(5))));
+    gateway.record_rollback(at(1_000));
 
-    gateway.learn(at(1_100), Some(Arc::new(config(4))));
+    gateway.record_read(at(1_100), Some(Arc::new(config(4))));
     let within = gateway.version();
-    gateway.learn(at(1_500), Some(Arc::new(config(6))));
+    gateway.record_read(at(1_500), Some(Arc::new(config(6))));
 
     assert_eq!((within, gateway.version()), (5, 6));
 }
@@ -229,7 +229,7 @@
         now = now + Span::millis(400);
         read(&mut gateway, now, alive.iter().map(|id| listing(id)).collect());
 
-        gateway.store_returned(now);
+        gateway.record_rollback(now);
         let copy = &copies[copies.len().saturating_sub(1 + back)];
         for ms in [100, 700, 2_100] {
             read(&mut gateway, now + Span::millis(ms), copy.clone());
--- a/core/tests/gateway/routes.rs
+++ b/core/tests/gateway/routes.rs
@@ -61,9 +61,9 @@
 #[test]
 fn an_older_version_is_never_taken() {
     let mut gateway = gateway(3);
-    gateway.learn(START + Span::secs(1), Some(Arc::new(config(5))));
+    gateway.record_read(START + Span::secs(1), Some(Arc::new(config(5))));
 
-    let newer = gateway.learn(START + Span::secs(2), Some(Arc::new(config(4))));
+    let newer = gateway.record_read(START + Span::secs(2), Some(Arc::new(config(4))));
 
     assert!(!newer);
     assert_eq!(gateway.version(), 5);
@@ -79,7 +79,7 @@
     let mut grant = gateway.admit(START, &call).unwrap();
     let mut moved = route("report");
     moved.targets[0].service = "others".to_owned();
-    gateway.learn(START, Some(Arc::new(config(2).with_route(moved))));
+    gateway.record_read(START, Some(Arc::new(config(2).with_route(moved))));
 
     gateway.confirm(START, &call, &mut grant).unwrap();
 
--- a/core/tests/gateway/support.rs
+++ b/core/tests/gateway/support.rs
@@ -99,8 +99,8 @@
 /// A gateway that knows a configuration and `engines` engines at [`START`].
 pub fn gateway(engines: usize) -> Gateway {
     let mut gateway = Gateway::new(settings("one"), START);
-    gateway.learn(START, Some(Arc::new(config(1))));
-    gateway.list(START, START, listings(engines), vec![entry("one")]);
+    gateway.record_read(START, Some(Arc::new(config(1))));
+    gateway.update_lists(START, START, listings(engines), vec![entry("one")]);
     gateway
 }
 
--- a/gateway/src/era.rs
+++ b/gateway/src/era.rs
@@ -121,7 +121,7 @@
         let (before, after) = watcher.next().await;
         let now = clock::now();
         let mut gateway = shared.gateway.borrow_mut();
-        gateway.store_returned(now);
+        gateway.record_rollback(now);
         let line = Line::new("store_returned")
             .with("era", after)
             .with("before", before)
--- a/gateway/src/store.rs
+++ b/gateway/src/store.rs
@@ -356,8 +356,9 @@
     let now = clock::now();
     let mut gateway = shared.gateway.borrow_mut();
     let before = gateway.version();
-    let newer = proves && gateway.learn(sent, known.view.config.clone());
-    let changes = gateway.list(sent, now, known.view.replicas.clone(), known.view.gateways.clone());
+    let newer = proves && gateway.record_read(sent, known.view.config.clone());
+    let changes =
+        gateway.update_lists(sent, now, known.view.replicas.clone(), known.view.gateways.clone());
     let version = gateway.version();
     shared.pool.retain(|replica| gateway.fleet().get(replica).is_some());
     // Peers seldom ask a gateway that does not read the store, and views take memory.
