--- a/core/src/gateway/directory.rs
+++ b/core/src/gateway/directory.rs
@@ -100,13 +100,13 @@
 }
 
 /// Short hash of a gateway's name, by which gateways speak of it.
-pub fn short(name: &str) -> u32 {
+pub fn short_hash(name: &str) -> u32 {
     rendezvous::hash(&[name.as_bytes()]) as u32
 }
 
 impl Directory {
     /// Takes the store's list in.
-    pub fn list(&mut self, now: Time, entries: Vec<Entry>) {
+    pub fn update(&mut self, now: Time, entries: Vec<Entry>) {
         for member in self.members.values_mut() {
             member.listed = false;
         }
@@ -149,7 +149,7 @@
 
     fn member(&mut self, now: Time, entry: Entry) -> &mut Member {
         let fresh = |entry: Entry| {
-            let short = short(&entry.name);
+            let short = short_hash(&entry.name);
             Member { entry, short, listed: false, open: true, heard: None, seen: now, since: now }
         };
         let member = self.members.entry(entry.name.clone()).or_insert_with(|| fresh(entry.clone()));
@@ -160,7 +160,7 @@
     }
 
     /// Addresses for heartbeats.
-    pub fn peers(&self) -> impl Iterator<Item = &str> {
+    pub fn peer_addresses(&self) -> impl Iterator<Item = &str> {
         self.members.values().map(|m| m.entry.peer_address.as_str())
     }
 
@@ -174,7 +174,7 @@
         let live = self.members.values().filter(|m| m.is_live(now));
         let address = |m: &Member| m.entry.peer_address.clone();
         let mut all: Vec<_> = live.map(|m| (rank(m.short, &m.entry), Some(address(m)))).collect();
-        all.push((rank(short(&own.name), own), None));
+        all.push((rank(short_hash(&own.name), own), None));
         all.sort();
         all.truncate(READERS + all.len().isqrt() / ROOTS_PER_READER);
         let is_reader = all.iter().any(|(_, address)| address.is_none());
@@ -188,7 +188,8 @@
         let rank = |short: u32, entry: &Entry| (Reverse(entry.weight), short);
         let open = self.members.values().filter(|m| m.open && m.is_live(now));
         let first = open.min_by_key(|m| rank(m.short, &m.entry))?;
-        let before = |own: &Entry| rank(short(&own.name), own) < rank(first.short, &first.entry);
+        let before =
+            |own: &Entry| rank(short_hash(&own.name), own) < rank(first.short, &first.entry);
         (!own.is_some_and(before)).then(|| first.entry.peer_address.clone())
     }
 
@@ -196,7 +197,7 @@
     /// `own`.
     pub fn owner(&self, now: Time, own: &str, engine: Digest) -> Option<(u32, &str)> {
         let score = |gateway: u32| rendezvous::score(u64::from(engine.0), u64::from(gateway));
-        let own = score(short(own));
+        let own = score(short_hash(own));
         let live = self.members.values().filter(|m| m.is_live(now));
         let first = live.max_by_key(|m| score(m.short))?;
         let address = first.entry.peer_address.as_str();
@@ -204,16 +205,16 @@
     }
 
     /// Place of this gateway, `own`, in the order of the readers among all that live; 0 is the first.
-    pub fn rank(&self, now: Time, own: &Entry) -> usize {
+    pub fn reader_rank(&self, now: Time, own: &Entry) -> usize {
         let rank = |short: u32, entry: &Entry| (Reverse(entry.weight), short);
-        let own = rank(short(&own.name), own);
+        let own = rank(short_hash(&own.name), own);
         let live = self.members.values().filter(|m| m.is_live(now));
         live.filter(|m| rank(m.short, &m.entry) < own).count()
     }
 
     /// Another live gateway that holds copies for this one, `own`, with its address for datagrams.
     pub fn backup(&self, now: Time, own: &str, except: Option<u32>) -> Option<(u32, &str)> {
-        let own = u64::from(short(own));
+        let own = u64::from(short_hash(own));
         let live = self.members.values().filter(|m| m.is_live(now) && Some(m.short) != except);
         let first = live.max_by_key(|m| rendezvous::score(own, u64::from(m.short)))?;
         Some((first.short, first.entry.peer_address.as_str()))
@@ -226,7 +227,7 @@
     }
 
     /// Whether a gateway is alive.
-    pub fn lives(&self, now: Time, gateway: u32) -> bool {
+    pub fn is_live(&self, now: Time, gateway: u32) -> bool {
         self.members.values().any(|m| m.short == gateway && m.is_live(now))
     }
 
@@ -236,12 +237,12 @@
     }
 
     /// Gateways that may be spending a share of a budget, this one included.
-    pub fn sharers(&self) -> usize {
+    pub fn gateway_count(&self) -> usize {
         self.members.len() + 1
     }
 
     /// Addresses for a caller in `domain`; `own` is this gateway's entry if it takes callers.
-    pub fn answer(
+    pub fn select_addresses(
         &self,
         now: Time,
         own: Option<&Entry>,
--- a/core/src/gateway/fleet/choice.rs
+++ b/core/src/gateway/fleet/choice.rs
@@ -218,7 +218,7 @@
         let least_failing =
             candidates.iter().map(|(_, r)| r.failures).fold(f64::INFINITY, f64::min);
         let homes = homes(requirements.parts, candidates);
-        let service = directory::short(requirements.service);
+        let service = directory::short_hash(requirements.service);
         let at_home = requirements
             .engine
             .is_some_and(|criteria| own_shared(requirements.parts, &criteria) >= LONG_SHARED);
--- a/core/src/gateway/state.rs
+++ b/core/src/gateway/state.rs
@@ -196,8 +196,8 @@
     }
 
     /// Place of this gateway in the order of the readers among all that live; 0 is the first.
-    pub fn rank(&self, now: Time) -> usize {
-        self.directory.rank(now, &self.settings.entry)
+    pub fn reader_rank(&self, now: Time) -> usize {
+        self.directory.reader_rank(now, &self.settings.entry)
     }
 
     /// Calls of all gateways at the replicas of a service, running or waiting, as far as known.
@@ -237,7 +237,7 @@
     /// The heartbeat to send at `now`.
     pub fn heartbeat(&self, now: Time) -> Heartbeat {
         let own = Demand {
-            gateway: directory::short(&self.settings.entry.name),
+            gateway: directory::short_hash(&self.settings.entry.name),
             open: self.is_open(now),
             sensitive: self.fleet.sensitive_streams().min(u32::from(u16::MAX)) as u16,
             age_ms: 0,
@@ -258,8 +258,8 @@
     }
 
     /// Addresses for heartbeats.
-    pub fn peers(&self) -> Vec<String> {
-        self.directory.peers().map(str::to_owned).collect()
+    pub fn peer_addresses(&self) -> Vec<String> {
+        self.directory.peer_addresses().map(str::to_owned).collect()
     }
 
     /// Whether callers may be sent here.
@@ -268,9 +268,9 @@
     }
 
     /// Gateways for a caller in `domain`.
-    pub fn entries(&mut self, now: Time, domain: &str) -> Vec<String> {
+    pub fn addresses_for(&mut self, now: Time, domain: &str) -> Vec<String> {
         let own = self.is_open(now).then_some(&self.settings.entry);
-        self.directory.answer(now, own, domain, &mut self.rng)
+        self.directory.select_addresses(now, own, domain, &mut self.rng)
     }
 
     /// Version of the configuration in force; 0 before the first.
@@ -304,8 +304,8 @@
     }
 
     /// Gateways that share the budget.
-    pub fn sharers(&self) -> usize {
-        self.directory.sharers()
+    pub fn gateway_count(&self) -> usize {
+        self.directory.gateway_count()
     }
 
     /// Admits a call whose head was read at `now`.
@@ -418,7 +418,7 @@
         let (sensitive, lane) = self.lane_of(now, grant, engine, engines);
         let epoch = self.plan(&grant.service).map_or(0, |plan| plan.epoch);
         let last = self.config.as_ref().is_some_and(|c| c.ranks_last(&grant.route, &grant.service));
-        let gateways = self.directory.sharers();
+        let gateways = self.directory.gateway_count();
         let model = self.models.entry(grant.service.clone()).or_default();
         Criteria {
             slots: engine.slots,
@@ -473,7 +473,7 @@
 
     /// Takes one further attempt out of the service's budget; `false` if there is none left.
     pub fn spend(&mut self, now: Time, service: &str) -> bool {
-        let sharers = self.directory.sharers();
+        let sharers = self.directory.gateway_count();
         self.budgets.get_mut(service).is_some_and(|b| b.spend(now, sharers))
     }
 
@@ -484,13 +484,13 @@
 
     fn gossip_paces(&self) -> Vec<prefill::Estimate> {
         let told = self.models.iter();
-        told.filter_map(|(service, model)| model.prefill.gossip(directory::short(service)))
+        told.filter_map(|(service, model)| model.prefill.gossip(directory::short_hash(service)))
             .collect()
     }
 
     fn receive_paces(&mut self, paces: &[prefill::Estimate]) {
         for (service, model) in &mut self.models {
-            let short = directory::short(service);
+            let short = directory::short_hash(service);
             paces.iter().filter(|p| p.service == short).for_each(|p| model.prefill.receive(p));
         }
     }
--- a/core/src/gateway/state/owner.rs
+++ b/core/src/gateway/state/owner.rs
@@ -64,18 +64,18 @@
         }
         self.tidied = now;
         let (directory, name) = (&self.directory, self.settings.entry.name.as_str());
-        let own = directory::short(name);
+        let own = directory::short_hash(name);
         let fleet = &self.fleet;
         self.occupancy.retain_engines(|engine| {
             fleet.contains(engine) && directory.owner(now, name, engine).is_none()
         });
-        self.occupancy.retain_gateways(|gateway| gateway == own || directory.lives(now, gateway));
+        self.occupancy.retain_gateways(|gateway| gateway == own || directory.is_live(now, gateway));
     }
 
     /// Updates to send to other owners, by address. Those of owned engines are recorded here.
     pub fn drain_updates(&mut self, now: Time) -> BTreeMap<String, Vec<Update>> {
         self.tidy(now);
-        let own = u64::from(directory::short(&self.settings.entry.name)) << 32;
+        let own = u64::from(directory::short_hash(&self.settings.entry.name)) << 32;
         let mut told: BTreeMap<String, Vec<Update>> = BTreeMap::new();
         for update in self.fleet.drain_updates() {
             let update = Update { call: own | update.call, ..update };
--- a/core/src/gateway/state/plans.rs
+++ b/core/src/gateway/state/plans.rs
@@ -25,7 +25,7 @@
         if self.planner.is_decider() {
             return DECIDING;
         }
-        let gateways = self.directory.sharers() as u64;
+        let gateways = self.directory.gateway_count() as u64;
         REPORTING.max(Span(REPORTING_EACH.0 * gateways))
     }
 
@@ -36,7 +36,7 @@
         let decider = self.directory.decider(now, own);
         let decides = decider.is_none() && own.is_some();
         self.planner.set_decider(now, decides);
-        let gateway = directory::short(&self.settings.entry.name);
+        let gateway = directory::short_hash(&self.settings.entry.name);
         let tallies = self.tallies.iter_mut();
         let sums = tallies.filter_map(|(service, tally)| tally.take(*service));
         let report = Report { gateway, services: sums.collect() };
@@ -58,13 +58,13 @@
         let Some(config) = self.config.clone() else {
             return;
         };
-        let by = directory::short(&self.settings.entry.name);
+        let by = directory::short_hash(&self.settings.entry.name);
         let services = config.services();
         for service in &services {
             let Some(engine) = service.engine else {
                 continue;
             };
-            let short = directory::short(&service.name);
+            let short = directory::short_hash(&service.name);
             let subject = Input {
                 service: short,
                 engine: &engine,
@@ -77,7 +77,7 @@
                 self.plans.receive(now, &plan);
             }
         }
-        let shorts: Vec<u32> = services.iter().map(|s| directory::short(&s.name)).collect();
+        let shorts: Vec<u32> = services.iter().map(|s| directory::short_hash(&s.name)).collect();
         self.plans.retain(|short| shorts.contains(&short));
     }
 
@@ -98,7 +98,7 @@
 
     /// The plan of a service by name.
     pub fn plan(&self, service: &str) -> Option<&Plan> {
-        self.plans.get(directory::short(service))
+        self.plans.get(directory::short_hash(service))
     }
 
     /// Whether a call's stream goes to the isolated pool, and the pool's size.
@@ -109,7 +109,7 @@
         engine: &Engine,
         engines: usize,
     ) -> (bool, usize) {
-        if let Some(plan) = self.plans.get(directory::short(&grant.service)) {
+        if let Some(plan) = self.plans.get(directory::short_hash(&grant.service)) {
             let sensitive = grant.route.streams && plan.isolates(grant.route.pause);
             return (sensitive, usize::from(plan.pool_size));
         }
--- a/core/src/gateway/state/reads.rs
+++ b/core/src/gateway/state/reads.rs
@@ -75,7 +75,7 @@
         gateways: Vec<Entry>,
     ) -> Changes {
         let own = self.settings.entry.name.clone();
-        self.directory.list(now, gateways.into_iter().filter(|e| e.name != own).collect());
+        self.directory.update(now, gateways.into_iter().filter(|e| e.name != own).collect());
         let absence = self.fleet.absence(&replicas);
         let keep = self.outage.record_list(sent, now, absence);
         self.fleet.update(now, replicas, keep)
--- a/core/tests/gateway/directory.rs
+++ b/core/tests/gateway/directory.rs
@@ -3,7 +3,7 @@
 use laburnumwheel_core::gateway::directory::Directory;
 use laburnumwheel_core::gateway::directory::Entry;
 use laburnumwheel_core::gateway::directory::Heartbeat;
-use laburnumwheel_core::gateway::directory::short;
+use laburnumwheel_core::gateway::directory::short_hash;
 use laburnumwheel_core::gateway::gossip::Demand;
 use laburnumwheel_core::time::Span;
 use rand::SeedableRng;
@@ -17,7 +17,7 @@
 }
 
 fn heartbeat(entry: &Entry, open: bool) -> Heartbeat {
-    let demand = Demand { gateway: short(&entry.name), open, sensitive: 0, age_ms: 0 };
+    let demand = Demand { gateway: short_hash(&entry.name), open, sensitive: 0, age_ms: 0 };
     Heartbeat {
         entry: entry.clone(),
         demands: vec![demand],
@@ -31,7 +31,8 @@
 }
 
 fn answer(directory: &Directory, at: Span, own: Option<&Entry>, domain: &str) -> Vec<String> {
-    let mut answer = directory.answer(START + at, own, domain, &mut SmallRng::seed_from_u64(1));
+    let mut answer =
+        directory.select_addresses(START + at, own, domain, &mut SmallRng::seed_from_u64(1));
     answer.sort();
     answer
 }
@@ -40,7 +41,7 @@
 fn callers_are_sent_to_their_own_domain_if_two_gateways_are_there() {
     let mut directory = Directory::default();
     let entries = [("a", "mixco"), ("b", "mixco"), ("c", "villa")].map(|(n, d)| in_domain(n, d));
-    directory.list(START, entries.to_vec());
+    directory.update(START, entries.to_vec());
 
     let mixco = answer(&directory, Span(0), None, "mixco");
     let villa = answer(&directory, Span(0), None, "villa");
@@ -55,7 +56,7 @@
 fn a_gateway_that_falls_silent_gets_no_callers_although_it_is_listed() {
     let mut directory = Directory::default();
     let entries = ["a", "b", "c"].map(entry);
-    directory.list(START, entries.to_vec());
+    directory.update(START, entries.to_vec());
     for e in &entries {
         directory.receive(START, &heartbeat(e, true));
     }
@@ -73,7 +74,7 @@
 fn a_gateway_that_leaves_gets_no_callers_from_its_next_heartbeat_on() {
     let mut directory = Directory::default();
     let entries = ["a", "b", "c"].map(entry);
-    directory.list(START, entries.to_vec());
+    directory.update(START, entries.to_vec());
     for e in &entries {
         directory.receive(START, &heartbeat(e, true));
     }
@@ -89,10 +90,15 @@
 fn a_gateway_lives_if_others_have_heard_of_it() {
     let mut directory = Directory::default();
     let (a, b) = (entry("a"), entry("b"));
-    directory.list(START, vec![a.clone(), b.clone()]);
+    directory.update(START, vec![a.clone(), b.clone()]);
     directory.receive(START, &heartbeat(&a, true));
     let mut relayed = heartbeat(&b, true);
-    relayed.demands.push(Demand { gateway: short("a"), open: true, sensitive: 3, age_ms: 300 });
+    relayed.demands.push(Demand {
+        gateway: short_hash("a"),
+        open: true,
+        sensitive: 3,
+        age_ms: 300,
+    });
 
     directory.receive(START + Span::secs(3), &relayed);
 
@@ -104,7 +110,7 @@
 fn readers(all: &[Entry], own: &Entry) -> (Vec<String>, bool) {
     let mut directory = Directory::default();
     let others: Vec<Entry> = all.iter().filter(|e| e.name != own.name).cloned().collect();
-    directory.list(START, others.clone());
+    directory.update(START, others.clone());
     for e in &others {
         directory.receive(START, &heartbeat(e, true));
     }
@@ -149,13 +155,13 @@
 fn a_gateway_that_was_never_heard_of_gets_callers_only_for_a_moment() {
     let mut directory = Directory::default();
     let entries = ["a", "b", "c"].map(entry);
-    directory.list(START, entries.to_vec());
+    directory.update(START, entries.to_vec());
     let at_first = answer(&directory, Span(0), None, "mixco");
     let later = START + Span::millis(1_900);
     for e in &entries[1..] {
         directory.receive(later, &heartbeat(e, true));
     }
-    directory.list(later, entries.to_vec());
+    directory.update(later, entries.to_vec());
 
     let sent_to = answer(&directory, Span::millis(1_900), None, "mixco");
 
@@ -168,8 +174,8 @@
 fn a_gateway_that_hears_nobody_goes_by_the_list() {
     let mut directory = Directory::default();
     let entries = ["a", "b"].map(entry);
-    directory.list(START, entries.to_vec());
-    directory.list(START + Span::secs(3), entries.to_vec());
+    directory.update(START, entries.to_vec());
+    directory.update(START + Span::secs(3), entries.to_vec());
 
     assert_eq!(answer(&directory, Span::secs(3), None, "mixco"), ["a:1", "b:1"]);
 }
--- a/core/tests/gateway/fleet.rs
+++ b/core/tests/gateway/fleet.rs
@@ -232,5 +232,5 @@
 
     gateway.update_lists(START, START, listings(1), vec![entry("one"), entry("two")]);
 
-    assert_eq!(gateway.peers(), ["two:2"]);
+    assert_eq!(gateway.peer_addresses(), ["two:2"]);
 }
--- a/core/tests/gateway/loads.rs
+++ b/core/tests/gateway/loads.rs
@@ -9,7 +9,7 @@
 use laburnumwheel_core::gateway::Gateway;
 use laburnumwheel_core::gateway::Pick;
 use laburnumwheel_core::gateway::directory::Heartbeat;
-use laburnumwheel_core::gateway::directory::short;
+use laburnumwheel_core::gateway::directory::short_hash;
 use laburnumwheel_core::gateway::fleet::Load;
 use laburnumwheel_core::gateway::gossip::Demand;
 use laburnumwheel_core::gateway::gossip::Sighting;
@@ -64,7 +64,7 @@
 }
 
 fn demand_of_chats(streams: u16) -> Demand {
-    Demand { gateway: short("two"), open: true, sensitive: streams, age_ms: 0 }
+    Demand { gateway: short_hash("two"), open: true, sensitive: streams, age_ms: 0 }
 }
 
 /// An engine of the chats' lane, and one outside of it.
@@ -135,7 +135,7 @@
 #[test]
 fn chats_and_reports_do_not_share_engines() {
     let mut gateway = gateway(ENGINES);
-    let demand = Demand { gateway: short("two"), open: true, sensitive: 60, age_ms: 0 };
+    let demand = Demand { gateway: short_hash("two"), open: true, sensitive: 60, age_ms: 0 };
     gateway.receive(START, &heartbeat(vec![demand], vec![]));
 
     let chats: BTreeSet<String> = (0..40)
@@ -158,7 +158,8 @@
 fn a_burst_of_chats_takes_more_engines_but_not_all() {
     let lane = |streams: u16| {
         let mut gateway = gateway(ENGINES);
-        let demand = Demand { gateway: short("two"), open: true, sensitive: streams, age_ms: 0 };
+        let demand =
+            Demand { gateway: short_hash("two"), open: true, sensitive: streams, age_ms: 0 };
         gateway.receive(START, &heartbeat(vec![demand], vec![]));
         let sent = (0..100).filter_map(|c| send(&mut gateway, START, "chat", &chat(c)).ok());
         sent.map(|pick| pick.id).collect::<BTreeSet<_>>().len()
--- a/core/tests/gateway/occupancy.rs
+++ b/core/tests/gateway/occupancy.rs
@@ -8,7 +8,7 @@
 use laburnumwheel_core::gateway::Gateway;
 use laburnumwheel_core::gateway::Pick;
 use laburnumwheel_core::gateway::directory::Heartbeat;
-use laburnumwheel_core::gateway::directory::short;
+use laburnumwheel_core::gateway::directory::short_hash;
 use laburnumwheel_core::gateway::gossip::Demand;
 use laburnumwheel_core::gateway::gossip::Sighting;
 use laburnumwheel_core::gateway::occupancy::Change;
@@ -74,7 +74,7 @@
 
 fn live(gateway: &mut Gateway, names: &[&str]) {
     for name in names {
-        let demand = Demand { gateway: short(name), open: true, sensitive: 0, age_ms: 0 };
+        let demand = Demand { gateway: short_hash(name), open: true, sensitive: 0, age_ms: 0 };
         let heartbeat = Heartbeat {
             entry: entry(name),
             demands: vec![demand],
@@ -119,11 +119,11 @@
 #[test]
 fn calls_of_a_gateway_that_is_gone_count_no_longer() {
     let mut occupancy = Occupancy::default();
-    let of = |gateway: &str| u64::from(short(gateway)) << 32;
+    let of = |gateway: &str| u64::from(short_hash(gateway)) << 32;
     occupancy.record(START, &update(of("gone") | 1, Change::Sent(26.0)));
     occupancy.record(START, &update(of("alive") | 1, Change::Sent(26.0)));
 
-    occupancy.retain_gateways(|gateway| gateway == short("alive"));
+    occupancy.retain_gateways(|gateway| gateway == short_hash("alive"));
 
     assert_eq!(occupancy.snapshot(START + SETTLED, ENGINE).unwrap().calls, 1);
 }
--- a/gateway/src/duty.rs
+++ b/gateway/src/duty.rs
@@ -141,7 +141,7 @@
     /// The duties of the gateway `name`.
     pub fn new(options: Options, calls: Calls, name: &str, incarnation: u64) -> State {
         let now = clock::now();
-        let gateway = directory::short(name);
+        let gateway = directory::short_hash(name);
         let collector =
             options.usage.map(|schedule| usage::Collector::new(schedule, gateway, incarnation));
         State {
--- a/gateway/src/duty/delivery.rs
+++ b/gateway/src/duty/delivery.rs
@@ -26,7 +26,7 @@
         return;
     }
     loop {
-        let gateways = shared.gateway.borrow().sharers() as u32;
+        let gateways = shared.gateway.borrow().gateway_count() as u32;
         tokio::time::sleep(EXCHANGE.max(EXCHANGE_EACH * gateways)).await;
         deliver(&shared, duties).await;
     }
@@ -41,7 +41,7 @@
     let token = leader.map_or(0, |leader| leader.token);
     let (own, leader_address, backup) = {
         let gateway = shared.gateway.borrow();
-        let own = directory::short(gateway.name());
+        let own = directory::short_hash(gateway.name());
         let leader = leader.map(|leader| leader.gateway).filter(|leader| *leader != own);
         let address = leader.and_then(|leader| gateway.directory().address(leader));
         let backup = gateway.directory().backup(now, gateway.name(), leader);
--- a/gateway/src/duty/election.rs
+++ b/gateway/src/duty/election.rs
@@ -27,7 +27,7 @@
         if duties.first_era.get().is_none() {
             duties.first_era.set(eras.newest());
         }
-        let rank = shared.gateway.borrow().rank(now);
+        let rank = shared.gateway.borrow().reader_rank(now);
         let step = duties.election.borrow_mut().step(now, era, rank);
         log_ended(&shared, duties);
         match step {
@@ -95,7 +95,7 @@
         return;
     }
     let token = duties.token();
-    let gateway = directory::short(shared.gateway.borrow().name());
+    let gateway = directory::short_hash(shared.gateway.borrow().name());
     duties.observe_leader(Identity { token, gateway });
     shared.metrics.count("terms_total", String::new());
     let line = Line::new("term_began").with("token", token).with("lease", acquired.lease);
--- a/gateway/src/peers.rs
+++ b/gateway/src/peers.rs
@@ -199,7 +199,7 @@
 pub async fn send_heartbeat(shared: &Shared) {
     let (heartbeat, mut peers) = {
         let gateway = shared.gateway.borrow();
-        (gateway.heartbeat(clock::now()), gateway.peers())
+        (gateway.heartbeat(clock::now()), gateway.peer_addresses())
     };
     let Some(bytes) = encode_heartbeat(shared, heartbeat) else {
         return;
@@ -225,7 +225,7 @@
 
 fn take_trailer(shared: &Shared, from: &str, trailer: Option<Trailer>) {
     if let (Some(duties), Some(trailer)) = (&shared.duties, trailer) {
-        duties.observe_wall(clock::now(), directory::short(from), trailer.wall);
+        duties.observe_wall(clock::now(), directory::short_hash(from), trailer.wall);
         if let Some(leader) = trailer.leader {
             duties.observe_leader(leader);
         }
@@ -313,7 +313,7 @@
             Message::Usage(sender, batches) => {
                 let acks = shared.duties.as_ref().map(|duties| duties.merge(sender, batches));
                 if let Some(acks) = acks.filter(|acks| !acks.is_empty()) {
-                    let own = directory::short(shared.gateway.borrow().name());
+                    let own = directory::short_hash(shared.gateway.borrow().name());
                     send(&shared.socket, from, &Message::UsageAck(own, acks)).await;
                 }
             }
--- a/gateway/tests/views.rs
+++ b/gateway/tests/views.rs
@@ -82,7 +82,7 @@
 async fn settled(held: &Held) -> Vec<Running> {
     let all = gateways(held, GATEWAYS).await;
     let agreed = || {
-        all.iter().all(|g| g.shared.gateway.borrow().sharers() == GATEWAYS as usize)
+        all.iter().all(|g| g.shared.gateway.borrow().gateway_count() == GATEWAYS as usize)
             && all.iter().filter(|g| is_reader(g)).count() == READERS
     };
     until("readers agreed on", agreed).await;
@@ -108,7 +108,7 @@
         let stores = [&away, &stays, &stays].map(|switch| store_that_turns_away(&held, switch));
         let all = gateways_before(stores.into_iter().collect()).await;
         until("all know each other", || {
-            all.iter().all(|g| g.shared.gateway.borrow().sharers() == READERS)
+            all.iter().all(|g| g.shared.gateway.borrow().gateway_count() == READERS)
         })
         .await;
         away.set(true);
