--- a/core/src/gateway/budget.rs
+++ b/core/src/gateway/budget.rs
@@ -62,12 +62,12 @@
     }
 
     /// Counts a call.
-    pub fn call(&mut self, now: Time) {
+    pub fn record_call(&mut self, now: Time) {
         self.bucket(now).calls += 1;
     }
 
     /// Further attempts that are left, with `gateways` sharing.
-    pub fn left(&mut self, now: Time, gateways: usize) -> f64 {
+    pub fn remaining(&mut self, now: Time, gateways: usize) -> f64 {
         self.bucket(now);
         let calls: u32 = self.buckets.iter().map(|b| b.calls).sum();
         let retries: u32 = self.buckets.iter().map(|b| b.retries).sum();
@@ -77,8 +77,8 @@
     }
 
     /// Takes one further attempt; `false` if the budget is spent.
-    pub fn spend(&mut self, now: Time, gateways: usize) -> bool {
-        if self.left(now, gateways) < 1.0 {
+    pub fn spend_retry(&mut self, now: Time, gateways: usize) -> bool {
+        if self.remaining(now, gateways) < 1.0 {
             return false;
         }
         self.bucket(now).retries += 1;
--- a/core/src/gateway/directory.rs
+++ b/core/src/gateway/directory.rs
@@ -12,7 +12,7 @@
 
 use crate::gateway::gossip::Demand;
 use crate::gateway::gossip::Demands;
-use crate::gateway::gossip::Sighting;
+use crate::gateway::gossip::Observation;
 use crate::gateway::plan::Plan;
 use crate::gateway::prefill;
 use crate::gateway::quarantine;
@@ -62,7 +62,7 @@
     /// Demand of gateways, the sender's own among it.
     pub demands: Vec<Demand>,
     /// Loads of replicas.
-    pub loads: Vec<Sighting>,
+    pub loads: Vec<Observation>,
     /// What prompts cost at the engines of services.
     pub paces: Vec<prefill::Estimate>,
     /// What gateways agree on, by service.
@@ -127,7 +127,7 @@
         member.seen = now;
         self.demands.receive(now, &heartbeat.demands);
         for member in self.members.values_mut() {
-            if let Some((at, open)) = self.demands.of(member.short)
+            if let Some((at, open)) = self.demands.latest(member.short)
                 && member.heard.is_none_or(|heard| heard < at)
             {
                 member.heard = Some(at);
@@ -143,8 +143,8 @@
     }
 
     /// Sensitive streams of the other gateways.
-    pub fn sensitive(&self, now: Time) -> u32 {
-        self.demands.sensitive(now)
+    pub fn sensitive_streams(&self, now: Time) -> u32 {
+        self.demands.sensitive_streams(now)
     }
 
     fn member(&mut self, now: Time, entry: Entry) -> &mut Member {
--- a/core/src/gateway/events.rs
+++ b/core/src/gateway/events.rs
@@ -55,12 +55,12 @@
     }
 
     /// Bytes of an event that has no end yet.
-    pub fn rest(&self) -> usize {
+    pub fn pending_len(&self) -> usize {
         self.rest.len()
     }
 
     /// Forgets a torn event, so that another replica's stream can go on.
-    pub fn restart(&mut self) {
+    pub fn discard_pending(&mut self) {
         self.rest.clear();
     }
 }
--- a/core/src/gateway/fleet.rs
+++ b/core/src/gateway/fleet.rs
@@ -11,7 +11,7 @@
 use crate::arena::Key;
 use crate::gateway::ask::Part;
 use crate::gateway::gossip;
-use crate::gateway::gossip::Sighting;
+use crate::gateway::gossip::Observation;
 use crate::gateway::occupancy::Change;
 use crate::gateway::occupancy::Update;
 use crate::incarnation::Digest;
@@ -157,14 +157,14 @@
     }
 
     /// Merges loads that other gateways saw.
-    pub fn receive(&mut self, now: Time, sightings: &[Sighting]) {
+    pub fn receive(&mut self, now: Time, sightings: &[Observation]) {
         for s in sightings {
             // What is said of a former life finds none.
             let key = self.by_digest.get(&s.replica).copied();
             let Some(replica) = key.and_then(|key| self.replicas.get_mut(key)) else {
                 continue;
             };
-            let at = gossip::at(now, s.age_ms);
+            let at = gossip::time_before(now, s.age_ms);
             if replica.report.is_none_or(|r| r.at < at) {
                 replica.alive = replica.alive.max(at);
                 replica.record_load(at, u32::from(s.running), u32::from(s.waiting));
@@ -173,14 +173,14 @@
     }
 
     /// Loads to gossip, the youngest first.
-    pub fn gossip(&self, now: Time) -> Vec<Sighting> {
-        let mut young: Vec<Sighting> = self
+    pub fn gossip(&self, now: Time) -> Vec<Observation> {
+        let mut young: Vec<Observation> = self
             .replicas
             .iter()
             .filter_map(|(_, replica)| {
                 let report = replica.report?;
                 let age_ms = gossip::age_ms(now, report.at)?;
-                Some(Sighting {
+                Some(Observation {
                     replica: replica.digest(),
                     running: report.running.min(u32::from(u16::MAX)) as u16,
                     waiting: report.waiting as u16,
@@ -189,7 +189,7 @@
             })
             .collect();
         young.sort_by_key(|s| s.age_ms);
-        young.truncate(gossip::MOST);
+        young.truncate(gossip::MAX_ENTRIES);
         young
     }
 
--- a/core/src/gateway/gossip.rs
+++ b/core/src/gateway/gossip.rs
@@ -18,11 +18,11 @@
 /// Older demand counts for nothing: the gateway is gone.
 const DEMAND_LIFE: Span = Span::millis(3_000);
 /// Sightings in one heartbeat, so that it fits a datagram.
-pub const MOST: usize = 100;
+pub const MAX_ENTRIES: usize = 100;
 
 /// Load of a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Sighting {
+pub struct Observation {
     /// Run of the replica.
     pub replica: Digest,
     /// Calls it works on.
@@ -59,7 +59,7 @@
 }
 
 /// The time `age_ms` before `now`.
-pub fn at(now: Time, age_ms: u16) -> Time {
+pub fn time_before(now: Time, age_ms: u16) -> Time {
     now - Span::millis(u64::from(age_ms))
 }
 
@@ -73,7 +73,7 @@
     /// Merges the demand that a peer gossips.
     pub fn receive(&mut self, now: Time, demands: &[Demand]) {
         for demand in demands {
-            let heard = Stamped { value: *demand, at: at(now, demand.age_ms) };
+            let heard = Stamped { value: *demand, at: time_before(now, demand.age_ms) };
             let known = self.all.entry(demand.gateway).or_insert(heard);
             if heard.at > known.at {
                 *known = heard;
@@ -90,18 +90,18 @@
             .filter_map(|d| age_ms(now, d.at).map(|age_ms| Demand { age_ms, ..d.value }))
             .collect();
         young.sort_by_key(|d| d.age_ms);
-        young.truncate(MOST);
+        young.truncate(MAX_ENTRIES);
         young
     }
 
     /// Sensitive streams of all other gateways.
-    pub fn sensitive(&self, now: Time) -> u32 {
+    pub fn sensitive_streams(&self, now: Time) -> u32 {
         let live = self.all.values().filter(|d| now.since(d.at) < DEMAND_LIFE);
         live.map(|d| u32::from(d.value.sensitive)).sum()
     }
 
     /// When a gateway was last known to live, and whether it took callers then.
-    pub fn of(&self, gateway: u32) -> Option<(Time, bool)> {
+    pub fn latest(&self, gateway: u32) -> Option<(Time, bool)> {
         self.all.get(&gateway).map(|d| (d.at, d.value.open))
     }
 }
--- a/core/src/gateway/state.rs
+++ b/core/src/gateway/state.rs
@@ -319,7 +319,7 @@
         let rules = self.settings.budget;
         let began = self.began;
         let budget = self.budgets.entry(grant.service.clone());
-        budget.or_insert_with(|| Budget::new(rules, began)).call(now);
+        budget.or_insert_with(|| Budget::new(rules, began)).record_call(now);
         Ok(grant)
     }
 
@@ -472,9 +472,9 @@
     }
 
     /// Takes one further attempt out of the service's budget; `false` if there is none left.
-    pub fn spend(&mut self, now: Time, service: &str) -> bool {
+    pub fn spend_retry(&mut self, now: Time, service: &str) -> bool {
         let sharers = self.directory.gateway_count();
-        self.budgets.get_mut(service).is_some_and(|b| b.spend(now, sharers))
+        self.budgets.get_mut(service).is_some_and(|b| b.spend_retry(now, sharers))
     }
 
     /// Time until a replica with work of this gateway counts as silent; zero if it is now.
--- a/core/src/gateway/state/plans.rs
+++ b/core/src/gateway/state/plans.rs
@@ -113,7 +113,7 @@
             let sensitive = grant.route.streams && plan.isolates(grant.route.pause);
             return (sensitive, usize::from(plan.pool_size));
         }
-        let streams = self.directory.sensitive(now) + self.fleet.sensitive_streams();
+        let streams = self.directory.sensitive_streams(now) + self.fleet.sensitive_streams();
         let model = super::model(&mut self.models, &grant.service);
         let sensitive = model.is_sensitive(&grant.route, engine);
         (sensitive, model.pool.size(now, streams, engine, engines))
--- a/core/tests/gateway/budget.rs
+++ b/core/tests/gateway/budget.rs
@@ -46,11 +46,11 @@
         for step in steps {
             match step {
                 Step::Call(at) => {
-                    budgets[at].call(now);
+                    budgets[at].record_call(now);
                     calls.push(now);
                 }
                 Step::Retry(at) => {
-                    if budgets[at].spend(now, GATEWAYS) {
+                    if budgets[at].spend_retry(now, GATEWAYS) {
                         retries.push(now);
                     }
                 }
@@ -77,10 +77,10 @@
 fn a_gateway_that_has_just_started_has_no_share() {
     let began = Time(100_000_000);
     let mut budget = Budget::new(RULES, began);
-    budget.call(began);
+    budget.record_call(began);
 
-    let at_once = budget.spend(began + Span::secs(1), GATEWAYS);
-    let later = budget.spend(began + Span::secs(11), GATEWAYS);
+    let at_once = budget.spend_retry(began + Span::secs(1), GATEWAYS);
+    let later = budget.spend_retry(began + Span::secs(11), GATEWAYS);
 
     assert!(!at_once);
     assert!(later);
@@ -93,8 +93,8 @@
     let spent = |calls: u32| {
         let spend = |_| {
             let mut budget = Budget::new(RULES, Time(0));
-            (0..calls).for_each(|_| budget.call(now));
-            (0..1_000).filter(|_| budget.spend(now, GATEWAYS)).count()
+            (0..calls).for_each(|_| budget.record_call(now));
+            (0..1_000).filter(|_| budget.spend_retry(now, GATEWAYS)).count()
         };
         (0..GATEWAYS).map(spend).sum::<usize>()
     };
--- a/core/tests/gateway/directory.rs
+++ b/core/tests/gateway/directory.rs
@@ -103,7 +103,7 @@
     directory.receive(START + Span::secs(3), &relayed);
 
     assert_eq!(answer(&directory, Span::secs(3), None, "mixco"), ["a:1", "b:1"]);
-    assert_eq!(directory.sensitive(START + Span::secs(3)), 3);
+    assert_eq!(directory.sensitive_streams(START + Span::secs(3)), 3);
 }
 
 /// Who reads, as the gateway `own` sees it: the others' addresses, and whether it does itself.
--- a/core/tests/gateway/events.rs
+++ b/core/tests/gateway/events.rs
@@ -26,7 +26,7 @@
             at = end;
         }
         prop_assert_eq!(&whole[..], &bytes[..at]);
-        prop_assert_eq!(splitter.rest(), 0);
+        prop_assert_eq!(splitter.pending_len(), 0);
         prop_assert_eq!(splitter.count(), count as u64);
     }
 }
@@ -38,7 +38,7 @@
     let mut splitter = Splitter::default();
     let first = splitter.push(b"id: 1\ndata: a\n\nid: 2\nda").unwrap();
 
-    splitter.restart();
+    splitter.discard_pending();
     let second = splitter.push(b"id: 2\ndata: b\n\n").unwrap();
 
     assert_eq!(&first[..], b"id: 1\ndata: a\n\n");
--- a/core/tests/gateway/loads.rs
+++ b/core/tests/gateway/loads.rs
@@ -12,7 +12,7 @@
 use laburnumwheel_core::gateway::directory::short_hash;
 use laburnumwheel_core::gateway::fleet::Load;
 use laburnumwheel_core::gateway::gossip::Demand;
-use laburnumwheel_core::gateway::gossip::Sighting;
+use laburnumwheel_core::gateway::gossip::Observation;
 use laburnumwheel_core::gateway::occupancy::Snapshot;
 use laburnumwheel_core::gateway::refusal::Reason;
 use laburnumwheel_core::gateway::refusal::Refusal;
@@ -50,7 +50,7 @@
     [(2, 103), (500 + call % 100, 69), (2_000_000 + call, 543)]
 }
 
-fn heartbeat(demands: Vec<Demand>, loads: Vec<Sighting>) -> Heartbeat {
+fn heartbeat(demands: Vec<Demand>, loads: Vec<Observation>) -> Heartbeat {
     Heartbeat {
         entry: entry("two"),
         demands,
@@ -83,7 +83,7 @@
 }
 
 fn busy(gateway: &mut Gateway, now: Time, running: u16, waiting: u16) {
-    let seen = |i: usize| Sighting {
+    let seen = |i: usize| Observation {
         replica: Incarnation::without_start(&format!("engine-{i}")).digest(),
         running,
         waiting,
--- a/core/tests/gateway/occupancy.rs
+++ b/core/tests/gateway/occupancy.rs
@@ -10,7 +10,7 @@
 use laburnumwheel_core::gateway::directory::Heartbeat;
 use laburnumwheel_core::gateway::directory::short_hash;
 use laburnumwheel_core::gateway::gossip::Demand;
-use laburnumwheel_core::gateway::gossip::Sighting;
+use laburnumwheel_core::gateway::gossip::Observation;
 use laburnumwheel_core::gateway::occupancy::Change;
 use laburnumwheel_core::gateway::occupancy::Occupancy;
 use laburnumwheel_core::gateway::occupancy::Snapshot;
@@ -57,7 +57,7 @@
 /// Reports of all engines, as heard from a peer just now.
 fn all_busy(gateway: &mut Gateway, engines: usize, running: u16, waiting: u16) {
     let replica = |i: usize| Incarnation::without_start(&format!("engine-{i}")).digest();
-    let sighting = |i: usize| Sighting { replica: replica(i), running, waiting, age_ms: 0 };
+    let sighting = |i: usize| Observation { replica: replica(i), running, waiting, age_ms: 0 };
     let loads = (0..engines).map(sighting).collect();
     let heartbeat = Heartbeat {
         entry: entry("two"),
--- a/core/tests/gateway/restart.rs
+++ b/core/tests/gateway/restart.rs
@@ -7,7 +7,7 @@
 use laburnumwheel_core::gateway::fleet::Listing;
 use laburnumwheel_core::gateway::fleet::Load;
 use laburnumwheel_core::gateway::fleet::Outcome;
-use laburnumwheel_core::gateway::gossip::Sighting;
+use laburnumwheel_core::gateway::gossip::Observation;
 use laburnumwheel_core::gateway::occupancy::Change;
 use laburnumwheel_core::gateway::occupancy::Update;
 use laburnumwheel_core::incarnation::Digest;
@@ -64,7 +64,7 @@
 }
 
 fn gossip(gateway: &mut Gateway, now: Time, replica: Digest) {
-    let loads = vec![Sighting { replica, running: 16, waiting: 30, age_ms: 0 }];
+    let loads = vec![Observation { replica, running: 16, waiting: 30, age_ms: 0 }];
     let heartbeat = Heartbeat {
         entry: entry("two"),
         demands: Vec::new(),
--- a/core/tests/gateway/strays.rs
+++ b/core/tests/gateway/strays.rs
@@ -92,7 +92,7 @@
 
         let sent = chunks.concat();
         prop_assert_eq!(&whole[..], &sent[..whole.len()]);
-        prop_assert_eq!(whole.len() + splitter.rest(), sent.len());
+        prop_assert_eq!(whole.len() + splitter.pending_len(), sent.len());
         prop_assert!(whole.is_empty() || whole.ends_with(b"\n"));
     }
 }
@@ -107,7 +107,7 @@
     let taken = (0..64).take_while(|_| splitter.push(&chunk).is_ok()).count();
 
     assert_eq!(taken, 16);
-    assert!(splitter.rest() <= (1 << 20) + chunk.len());
+    assert!(splitter.pending_len() <= (1 << 20) + chunk.len());
 }
 
 /// A peer asks after engines that don't exist, a thousand in each datagram. An occupancy for each of
--- a/gateway/src/attempt.rs
+++ b/gateway/src/attempt.rs
@@ -472,7 +472,7 @@
                     // that may still come: callers see a stream break off in a mere pause.
                     let mut gateway = self.shared.gateway.borrow_mut();
                     if gateway.may_move(now, &self.ask, &self.grant)
-                        && gateway.spend(now, &self.grant.service)
+                        && gateway.spend_retry(now, &self.grant.service)
                     {
                         return Err(Fault::Silent);
                     }
--- a/gateway/src/call.rs
+++ b/gateway/src/call.rs
@@ -278,9 +278,12 @@
         // Nothing ran, but the replica was sent the call: it counts as one of its attempts.
         Fault::Refused | Fault::Replaced => {
             call.grant.attempts < call.grant.route.attempts
-                && call.shared.gateway.borrow_mut().spend(now, &call.grant.service)
+                && call.shared.gateway.borrow_mut().spend_retry(now, &call.grant.service)
+        }
+        _ => {
+            call.may_retry()
+                && call.shared.gateway.borrow_mut().spend_retry(now, &call.grant.service)
         }
-        _ => call.may_retry() && call.shared.gateway.borrow_mut().spend(now, &call.grant.service),
     }
 }
 
--- a/gateway/src/relay.rs
+++ b/gateway/src/relay.rs
@@ -97,7 +97,7 @@
     /// one stream are at work.
     async fn resume(&mut self, mut failure: Failure) -> Result<(), Aborted> {
         self.exchange = None;
-        self.splitter.restart();
+        self.splitter.discard_pending();
         loop {
             if !self.may_resume(&failure) {
                 self.recorder.record_end(&self.call, "broken_off", 200);
@@ -133,7 +133,8 @@
         }
         let paid = *fault == Fault::Silent;
         self.call.may_retry()
-            && (paid || self.call.shared.gateway.borrow_mut().spend(clock::now(), &grant.service))
+            && (paid
+                || self.call.shared.gateway.borrow_mut().spend_retry(clock::now(), &grant.service))
     }
 }
 
@@ -175,7 +176,7 @@
             }
             Some(Err(_)) => return Err(call.fail(&b.in_flight, &b.replica, Fault::Broken)),
             // An end in the middle of an event is none.
-            None if splitter.rest() > 0 => {
+            None if splitter.pending_len() > 0 => {
                 return Err(call.fail(&b.in_flight, &b.replica, Fault::Broken));
             }
             None => {
--- a/gateway/tests/decoders.rs
+++ b/gateway/tests/decoders.rs
@@ -9,7 +9,7 @@
 use laburnumwheel_core::gateway::directory::Heartbeat;
 use laburnumwheel_core::gateway::fleet::Listing;
 use laburnumwheel_core::gateway::gossip::Demand;
-use laburnumwheel_core::gateway::gossip::Sighting;
+use laburnumwheel_core::gateway::gossip::Observation;
 use laburnumwheel_core::gateway::plan::Plan;
 use laburnumwheel_core::gateway::view::Base;
 use laburnumwheel_core::gateway::view::Snapshot;
@@ -39,7 +39,7 @@
 
 fn heartbeat() -> Vec<u8> {
     let demand = Demand { gateway: 3, open: true, sensitive: 4, age_ms: 5 };
-    let load = Sighting { replica: Digest(6), running: 7, waiting: 8, age_ms: 9 };
+    let load = Observation { replica: Digest(6), running: 7, waiting: 8, age_ms: 9 };
     let heartbeat = Heartbeat {
         entry: entry(),
         demands: vec![demand; 3],
