--- a/gateway/src/gateway.rs
+++ b/gateway/src/gateway.rs
@@ -66,7 +66,7 @@
     heartbeats: SocketAddr,
     listeners: Vec<Listener>,
     duties: Option<(duty::Options, duty::Calls)>,
-    grace: Duration,
+    grace_period: Duration,
     drain_delay: Duration,
 }
 
@@ -87,7 +87,7 @@
             heartbeats,
             listeners: Vec::new(),
             duties: None,
-            grace: Duration::from_secs(8),
+            grace_period: Duration::from_secs(8),
             drain_delay: Duration::from_secs(3),
         }
     }
@@ -105,8 +105,8 @@
     }
 
     /// With this much time between the signal to stop and the end.
-    pub fn grace(mut self, grace: Duration) -> Builder {
-        self.grace = grace;
+    pub fn grace_period(mut self, grace_period: Duration) -> Builder {
+        self.grace_period = grace_period;
         self
     }
 
@@ -185,7 +185,7 @@
         Ok(Running {
             shared,
             withdraw: self.store.withdraw,
-            grace: self.grace,
+            grace_period: self.grace_period,
             drain_delay: self.drain_delay,
             callers: local,
         })
@@ -228,7 +228,7 @@
     /// Where callers are served.
     pub callers: SocketAddr,
     withdraw: Box<dyn FnMut(u64) -> store::Reply<()>>,
-    grace: Duration,
+    grace_period: Duration,
     drain_delay: Duration,
 }
 
@@ -243,7 +243,7 @@
     pub async fn stop(self) {
         let shared = self.shared;
         let began = clock::now();
-        let end = self.grace.saturating_sub(RESERVE + LAST_ANSWERS);
+        let end = self.grace_period.saturating_sub(RESERVE + LAST_ANSWERS);
         let (learned, end) = (clock::span(self.drain_delay), clock::span(end));
         shared.gateway.borrow_mut().stop(began, learned, end);
         shared.log(Line::new("stopping").with("calls", shared.calls.get()));
@@ -261,7 +261,7 @@
                 shared.calls_ending.notify_waiters();
             }
             let done = shared.connections.get() == 0 && past > self.drain_delay / 2;
-            if done || past + RESERVE > self.grace {
+            if done || past + RESERVE > self.grace_period {
                 break;
             }
         }
--- a/gateway/tests/calls.rs
+++ b/gateway/tests/calls.rs
@@ -11,35 +11,35 @@
 use laburnumwheel_core::time::Span;
 use laburnumwheel_gateway::clock;
 
-use crate::support::Act;
+use crate::support::Action;
 use crate::support::Replica;
-use crate::support::before;
 use crate::support::call;
 use crate::support::connect;
 use crate::support::gateway;
+use crate::support::gateway_with;
 use crate::support::headers;
-use crate::support::not_run;
+use crate::support::refusal;
 use crate::support::request;
+use crate::support::response;
 use crate::support::run;
 use crate::support::send;
 use crate::support::view;
-use crate::support::whole;
 
-fn write(text: String) -> Vec<Act> {
-    vec![Act::Write(text)]
+fn write(text: String) -> Vec<Action> {
+    vec![Action::Write(text)]
 }
 
 #[test]
 fn a_call_reaches_a_replica_without_its_key_and_its_answer_comes_back_unchanged() {
     run(async {
-        let replica = Replica::start(write(whole("200 OK", "answer"))).await;
-        let running = before(&[&replica]).await;
+        let replica = Replica::start(write(response("200 OK", "answer"))).await;
+        let running = gateway_with(&[&replica]).await;
 
         let response = send(&running, "/safe/x?q=1", "call-1").await;
         let headers = headers(&response);
         let body = response.into_body().collect().await.unwrap().to_bytes();
 
-        let seen = replica.seen.borrow()[0].clone();
+        let seen = replica.received.borrow()[0].clone();
         assert!(seen.head.starts_with("POST /safe/x?q=1 HTTP/1.1"));
         assert_eq!(seen.body, b"body");
         assert_eq!(seen.header("authorization"), None);
@@ -58,23 +58,23 @@
 #[test]
 fn a_call_that_may_run_once_is_not_repeated_after_a_lost_answer() {
     run(async {
-        let lost = vec![Act::WriteAndClose(String::new())];
+        let lost = vec![Action::WriteAndClose(String::new())];
         let (a, b) = (Replica::start(lost.clone()).await, Replica::start(lost).await);
-        let running = before(&[&a, &b]).await;
+        let running = gateway_with(&[&a, &b]).await;
 
         let (status, _) = call(&running, "/once/x", "call-1").await;
 
         assert_eq!(status, 502);
-        assert_eq!(a.seen.borrow().len() + b.seen.borrow().len(), 1);
+        assert_eq!(a.received.borrow().len() + b.received.borrow().len(), 1);
     });
 }
 
 #[test]
 fn a_call_that_may_be_repeated_is_answered_by_another_replica() {
     run(async {
-        let a = Replica::start(vec![Act::WriteAndClose(String::new())]).await;
-        let b = Replica::start(write(whole("200 OK", "b"))).await;
-        let running = before(&[&a, &b]).await;
+        let a = Replica::start(vec![Action::WriteAndClose(String::new())]).await;
+        let b = Replica::start(write(response("200 OK", "b"))).await;
+        let running = gateway_with(&[&a, &b]).await;
 
         for i in 0..6 {
             let answer = call(&running, "/safe/x", &format!("call-{i}")).await;
@@ -88,9 +88,9 @@
 #[test]
 fn an_answer_with_another_id_is_never_delivered() {
     run(async {
-        let foreign = whole("200 OK", "somebody else's").replace("ID", "call-0");
+        let foreign = response("200 OK", "somebody else's").replace("ID", "call-0");
         let replica = Replica::start(write(foreign)).await;
-        let running = before(&[&replica]).await;
+        let running = gateway_with(&[&replica]).await;
 
         let (status, body) = call(&running, "/once/x", "call-1").await;
 
@@ -104,10 +104,11 @@
 #[test]
 fn a_second_answer_is_not_taken_for_the_next_calls() {
     run(async {
-        let twice = whole("200 OK", "first") + &whole("200 OK", "again");
+        let twice = response("200 OK", "first") + &response("200 OK", "again");
         let replica =
-            Replica::start(vec![Act::Write(twice), Act::Write(whole("200 OK", "second"))]).await;
-        let running = before(&[&replica]).await;
+            Replica::start(vec![Action::Write(twice), Action::Write(response("200 OK", "second"))])
+                .await;
+        let running = gateway_with(&[&replica]).await;
 
         let first = call(&running, "/safe/x", "call-1").await;
         let second = call(&running, "/safe/x", "call-2").await;
@@ -120,9 +121,9 @@
 #[test]
 fn an_answer_without_the_replicas_proof_is_no_success() {
     run(async {
-        let text = whole("200 OK", "x").replace("x-laburnum-proof: p\r\n", "");
+        let text = response("200 OK", "x").replace("x-laburnum-proof: p\r\n", "");
         let replica = Replica::start(write(text)).await;
-        let running = before(&[&replica]).await;
+        let running = gateway_with(&[&replica]).await;
 
         assert_eq!(call(&running, "/once/x", "call-1").await.0, 502);
     });
@@ -131,9 +132,9 @@
 #[test]
 fn a_short_answer_is_never_passed_on_as_whole() {
     run(async {
-        let short = whole("200 OK", "whole answer").replace("whole answer", "half");
-        let replica = Replica::start(vec![Act::WriteAndClose(short)]).await;
-        let running = before(&[&replica]).await;
+        let short = response("200 OK", "whole answer").replace("whole answer", "half");
+        let replica = Replica::start(vec![Action::WriteAndClose(short)]).await;
+        let running = gateway_with(&[&replica]).await;
 
         assert_eq!(call(&running, "/once/x", "call-1").await.0, 502);
     });
@@ -144,8 +145,8 @@
 #[test]
 fn a_refusal_of_replicas_is_passed_on_as_not_run() {
     run(async {
-        let replica = Replica::start(write(not_run())).await;
-        let running = before(&[&replica]).await;
+        let replica = Replica::start(write(refusal())).await;
+        let running = gateway_with(&[&replica]).await;
 
         let response = send(&running, "/once/x", "call-1").await;
 
@@ -158,10 +159,11 @@
 #[test]
 fn a_refusal_after_an_attempt_that_may_have_run_is_not_called_not_run() {
     run(async {
-        let a = Replica::start(vec![Act::WriteAndClose(String::new()), Act::Write(not_run())]);
+        let a =
+            Replica::start(vec![Action::WriteAndClose(String::new()), Action::Write(refusal())]);
         let a = a.await;
-        let b = Replica::start(vec![Act::WriteAndClose(String::new())]).await;
-        let running = before(&[&a, &b]).await;
+        let b = Replica::start(vec![Action::WriteAndClose(String::new())]).await;
+        let running = gateway_with(&[&a, &b]).await;
         // Whichever is tried first loses the answer; a second attempt may find a refusal.
         let (status, _) = call(&running, "/safe/x", "call-1").await;
 
@@ -172,8 +174,8 @@
 #[test]
 fn a_replicas_own_failure_is_passed_on_with_its_proof() {
     run(async {
-        let replica = Replica::start(write(whole("500 Error", "broken"))).await;
-        let running = before(&[&replica]).await;
+        let replica = Replica::start(write(response("500 Error", "broken"))).await;
+        let running = gateway_with(&[&replica]).await;
 
         let response = send(&running, "/once/x", "call-1").await;
 
@@ -189,22 +191,22 @@
     run(async {
         let other = "HTTP/1.1 421 Misdirected\r\ncontent-length: 0\r\n\r\n".to_owned();
         let a = Replica::start(write(other)).await;
-        let b = Replica::start(write(whole("200 OK", "b"))).await;
-        let running = before(&[&a, &b]).await;
+        let b = Replica::start(write(response("200 OK", "b"))).await;
+        let running = gateway_with(&[&a, &b]).await;
 
         for i in 0..4 {
             let answer = call(&running, "/once/x", &format!("call-{i}")).await;
             assert_eq!(answer, (200, Ok("b".to_owned())));
         }
-        assert!(a.seen.borrow().len() <= 1);
+        assert!(a.received.borrow().len() <= 1);
     });
 }
 
 #[test]
 fn an_unreachable_replica_costs_no_attempt() {
     run(async {
-        let gone = Replica::start(vec![Act::Silent]).await;
-        let b = Replica::start(write(whole("200 OK", "b"))).await;
+        let gone = Replica::start(vec![Action::Silent]).await;
+        let b = Replica::start(write(response("200 OK", "b"))).await;
         let mut listed = view(&[&gone, &b]);
         // Nothing listens there any more.
         let unused = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
@@ -221,12 +223,12 @@
 #[test]
 fn a_caller_that_leaves_ends_the_work_at_the_replica() {
     run(async {
-        let replica = Replica::start(vec![Act::Silent]).await;
-        let running = before(&[&replica]).await;
+        let replica = Replica::start(vec![Action::Silent]).await;
+        let running = gateway_with(&[&replica]).await;
         let mut channel = connect(&running).await;
         let answer = channel.sender.send_request(request("/safe/x", "call-1"));
         let waiting = tokio::task::spawn_local(answer);
-        while replica.seen.borrow().is_empty() {
+        while replica.received.borrow().is_empty() {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
 
@@ -243,8 +245,8 @@
 #[test]
 fn bad_input_gets_a_clear_error_and_reaches_no_replica() {
     run(async {
-        let replica = Replica::start(write(whole("200 OK", ""))).await;
-        let running = before(&[&replica]).await;
+        let replica = Replica::start(write(response("200 OK", ""))).await;
+        let running = gateway_with(&[&replica]).await;
         let build = |f: &dyn Fn(&mut hyper::Request<Full<bytes::Bytes>>)| {
             let mut r = request("/safe/x", "call-1");
             f(&mut r);
@@ -268,7 +270,7 @@
             let response = channel.sender.send_request(request).await.unwrap();
             assert_eq!(response.status().as_u16(), status);
         }
-        assert!(replica.seen.borrow().is_empty());
+        assert!(replica.received.borrow().is_empty());
     });
 }
 
@@ -276,8 +278,8 @@
 #[test]
 fn a_stop_finishes_what_was_taken() {
     run(async {
-        let replica = Replica::start(write(whole("200 OK", "answer"))).await;
-        let running = before(&[&replica]).await;
+        let replica = Replica::start(write(response("200 OK", "answer"))).await;
+        let running = gateway_with(&[&replica]).await;
         let shared = running.shared.clone();
         let mut channel = connect(&running).await;
         shared.gateway.borrow_mut().stop(clock::now(), Span::secs(2), Span::secs(8));
@@ -296,7 +298,7 @@
 #[test]
 fn a_gateway_that_starts_in_an_outage_serves_when_the_store_is_back() {
     run(async {
-        let replica = Replica::start(write(whole("200 OK", "answer"))).await;
+        let replica = Replica::start(write(response("200 OK", "answer"))).await;
         let held = Rc::new(RefCell::new(None));
         let (h, seen) = (Rc::clone(&held), view(&[&replica]));
         tokio::task::spawn_local(async move {
--- a/gateway/tests/eras.rs
+++ b/gateway/tests/eras.rs
@@ -10,9 +10,9 @@
 use laburnumwheel_gateway::store::View;
 
 use crate::support::config;
-use crate::support::gateway_that_reads;
+use crate::support::gateway_reading;
 use crate::support::run;
-use crate::support::until;
+use crate::support::wait_until;
 
 /// Time for which nothing must happen.
 const QUIET: Duration = Duration::from_millis(20);
@@ -55,8 +55,8 @@
             View { config: Some(Arc::new(config(version))), ..View::default() }
         };
 
-        let running = gateway_that_reads(read).await;
-        until("a later version", || running.shared.gateway.borrow().version() > 1).await;
+        let running = gateway_reading(read).await;
+        wait_until("a later version", || running.shared.gateway.borrow().version() > 1).await;
 
         assert_eq!(running.shared.gateway.borrow().version(), 5);
     });
--- a/gateway/tests/stops.rs
+++ b/gateway/tests/stops.rs
@@ -19,19 +19,19 @@
 use socket2::Type;
 use tokio::sync::oneshot;
 
-use crate::support::Act;
+use crate::support::Action;
+use crate::support::Contents;
 use crate::support::END;
-use crate::support::Held;
 use crate::support::KEY;
 use crate::support::Replica;
 use crate::support::builder;
 use crate::support::chunk;
 use crate::support::events;
-use crate::support::not_run;
+use crate::support::refusal;
+use crate::support::response;
 use crate::support::run;
-use crate::support::until;
 use crate::support::view;
-use crate::support::whole;
+use crate::support::wait_until;
 
 /// More than the buffers of a connection hold, and within what a gateway reads whole, in bytes.
 const LONG: usize = 12 << 20;
@@ -53,20 +53,21 @@
 impl Process {
     /// Starts one before a replica with this script. When it has ended, it tells how many calls
     /// the replica was sent.
-    fn start(script: Vec<Act>, grace: Duration) -> Process {
+    fn start(script: Vec<Action>, grace: Duration) -> Process {
         let (stop, told) = oneshot::channel();
         let (starts, started) = mpsc::channel();
         let (ends, ended) = mpsc::channel();
         let thread = std::thread::spawn(move || {
             run(async move {
                 let replica = Replica::start(script).await;
-                let running = builder(&patient(&replica)).grace(grace).start().await.unwrap();
+                let running =
+                    builder(&patient(&replica)).grace_period(grace).start().await.unwrap();
                 let version = || running.shared.gateway.borrow().version();
-                until("a configuration", || version() > 0).await;
+                wait_until("a configuration", || version() > 0).await;
                 starts.send(running.callers).unwrap();
                 told.await.unwrap();
                 running.stop().await;
-                ends.send(replica.seen.borrow().len()).unwrap();
+                ends.send(replica.received.borrow().len()).unwrap();
             });
         });
         Process { address: started.recv().unwrap(), stop, ended, thread }
@@ -99,7 +100,7 @@
 
 /// A store of which the gateway learns to keep resting connections for an hour. The replica is
 /// listed twice, so that a refused call finds another.
-fn patient(replica: &Replica) -> Held {
+fn patient(replica: &Replica) -> Contents {
     let mut seen = view(&[replica, replica]);
     let mut config = seen.config.as_deref().cloned().unwrap();
     config.limits.idle_time = Span::secs(3_600);
@@ -151,7 +152,7 @@
 #[test]
 fn an_answer_that_is_read_slowly_arrives_whole_in_a_stop() {
     let body = "r".repeat(LONG);
-    let process = Process::start(vec![Act::Write(whole("200 OK", &body))], NO_END);
+    let process = Process::start(vec![Action::Write(response("200 OK", &body))], NO_END);
     let mut caller = connect(process.address);
     ask(&mut caller, "/once/x");
     let first = begins(&mut caller);
@@ -171,7 +172,7 @@
 fn a_stream_that_is_read_slowly_arrives_whole_in_a_stop() {
     let event = format!("id: 1\ndata: {}\n\n", "t".repeat(60_000));
     let text = events(1, 0) + &chunk(&event).repeat(LONG / event.len()) + END;
-    let process = Process::start(vec![Act::Write(text)], NO_END);
+    let process = Process::start(vec![Action::Write(text)], NO_END);
     let mut caller = connect(process.address);
     ask(&mut caller, "/once-stream/x");
     let first = begins(&mut caller);
@@ -188,7 +189,7 @@
 /// short answer is with its caller when that closes the connection, or goes on with it.
 #[test]
 fn a_stop_waits_for_callers_to_take_their_answers() {
-    let process = Process::start(vec![Act::Write(whole("200 OK", "answer"))], NO_END);
+    let process = Process::start(vec![Action::Write(response("200 OK", "answer"))], NO_END);
     let mut caller = connect(process.address);
     ask(&mut caller, "/once/x");
     let first = begins(&mut caller);
@@ -208,7 +209,7 @@
 fn a_caller_that_hardly_reads_does_not_hold_a_stop_for_ever() {
     let body = "r".repeat(LONG);
     let grace = Duration::from_millis(2_500);
-    let process = Process::start(vec![Act::Write(whole("200 OK", &body))], grace);
+    let process = Process::start(vec![Action::Write(response("200 OK", &body))], grace);
     let mut caller = connect(process.address);
     ask(&mut caller, "/once/x");
     begins(&mut caller);
@@ -229,7 +230,7 @@
 #[test]
 fn a_call_that_outlasts_a_stop_is_answered() {
     for path in ["/once/x", "/once-stream/x"] {
-        let process = Process::start(vec![Act::Silent], Duration::from_millis(2_500));
+        let process = Process::start(vec![Action::Silent], Duration::from_millis(2_500));
         let mut caller = connect(process.address);
         ask(&mut caller, path);
         std::thread::sleep(PAUSE / 10);
@@ -249,7 +250,7 @@
 /// to learn of the stop, and the process does not wait for its grace time to be over.
 #[test]
 fn a_stop_closes_connections_that_rest_and_ends_early() {
-    let process = Process::start(vec![Act::Write(whole("200 OK", "answer"))], NO_END);
+    let process = Process::start(vec![Action::Write(response("200 OK", "answer"))], NO_END);
     let mut used = connect(process.address);
     ask(&mut used, "/once/x");
     begins(&mut used);
@@ -267,7 +268,7 @@
 /// call is answered as if nothing were.
 #[test]
 fn a_call_whose_body_is_still_coming_is_answered_in_a_stop() {
-    let process = Process::start(vec![Act::Write(whole("200 OK", "answer"))], NO_END);
+    let process = Process::start(vec![Action::Write(response("200 OK", "answer"))], NO_END);
     let mut caller = connect(process.address);
     caller.write_all((head("/once/x", 8) + "half").as_bytes()).unwrap();
     std::thread::sleep(PAUSE / 10);
@@ -289,7 +290,7 @@
 #[test]
 fn a_call_whose_body_comes_too_late_in_a_stop_is_sent_elsewhere() {
     let grace = Duration::from_millis(2_500);
-    let process = Process::start(vec![Act::Write(whole("200 OK", "answer"))], grace);
+    let process = Process::start(vec![Action::Write(response("200 OK", "answer"))], grace);
     let mut caller = connect(process.address);
     caller.write_all((head("/once/x", 8) + "half").as_bytes()).unwrap();
     std::thread::sleep(PAUSE / 10);
@@ -310,7 +311,8 @@
 /// cut off with it; that the call has not run is still true.
 #[test]
 fn a_call_that_is_refused_late_in_a_stop_is_sent_elsewhere() {
-    let script = vec![Act::WriteLater(not_run(), PAUSE), Act::Write(whole("200 OK", "answer"))];
+    let script =
+        vec![Action::WriteLater(refusal(), PAUSE), Action::Write(response("200 OK", "answer"))];
     let process = Process::start(script, Duration::from_millis(2_500));
     let mut caller = connect(process.address);
     ask(&mut caller, "/once/x");
@@ -330,7 +332,7 @@
 #[test]
 fn a_call_that_crosses_the_close_is_not_run() {
     for delay in 0..8 {
-        let process = Process::start(vec![Act::Write(whole("200 OK", "answer"))], NO_END);
+        let process = Process::start(vec![Action::Write(response("200 OK", "answer"))], NO_END);
         let mut caller = connect(process.address);
         ask(&mut caller, "/once/x");
         begins(&mut caller);
@@ -352,7 +354,7 @@
 /// once, and does not wait for the process to end.
 #[test]
 fn a_stream_that_breaks_off_in_a_stop_is_closed_at_once() {
-    let script = vec![Act::WriteAndCloseLater(events(1, 2), 2 * PAUSE)];
+    let script = vec![Action::WriteAndCloseLater(events(1, 2), 2 * PAUSE)];
     let process = Process::start(script, NO_END);
     let mut caller = connect(process.address);
     ask(&mut caller, "/once-stream/x");
@@ -368,7 +370,7 @@
 /// A caller that could not learn of the stop comes while the process still waits for another.
 #[test]
 fn a_caller_that_comes_late_in_a_stop_is_answered_once() {
-    let script = vec![Act::Silent, Act::Write(whole("200 OK", "answer"))];
+    let script = vec![Action::Silent, Action::Write(response("200 OK", "answer"))];
     let process = Process::start(script, NO_END);
     let mut long = connect(process.address);
     ask(&mut long, "/once/x");
@@ -393,7 +395,7 @@
 fn a_gateway_without_a_configuration_stops() {
     run(async {
         let held = Rc::new(RefCell::new(None));
-        let running = builder(&held).grace(NO_END).start().await.unwrap();
+        let running = builder(&held).grace_period(NO_END).start().await.unwrap();
 
         let stopped = tokio::time::timeout(PATIENCE, running.stop()).await;
 
--- a/gateway/tests/streams.rs
+++ b/gateway/tests/streams.rs
@@ -8,15 +8,15 @@
 
 use http_body_util::BodyExt;
 
-use crate::support::Act;
+use crate::support::Action;
 use crate::support::END;
 use crate::support::Replica;
-use crate::support::before;
 use crate::support::call;
 use crate::support::chunk;
 use crate::support::events;
 use crate::support::gateway;
-use crate::support::not_run;
+use crate::support::gateway_with;
+use crate::support::refusal;
 use crate::support::run;
 use crate::support::send;
 use crate::support::view_of_engines;
@@ -27,19 +27,20 @@
 
 /// Two replicas of which the first that is asked breaks off, and the other goes on.
 async fn breaking(first: &str) -> (Replica, Replica) {
-    let script =
-        |first: &str| vec![Act::WriteAndClose(first.to_owned()), Act::Write(events(3, 5) + END)];
+    let script = |first: &str| {
+        vec![Action::WriteAndClose(first.to_owned()), Action::Write(events(3, 5) + END)]
+    };
     // Either may be asked first; the second act of the other is reached through its first.
     let a = Replica::start(script(first)).await;
-    let b = Replica::start(vec![Act::Write(events(3, 5) + END)]).await;
+    let b = Replica::start(vec![Action::Write(events(3, 5) + END)]).await;
     (a, b)
 }
 
 #[test]
 fn a_whole_stream_is_relayed() {
     run(async {
-        let replica = Replica::start(vec![Act::Write(events(1, 4) + END)]).await;
-        let running = before(&[&replica]).await;
+        let replica = Replica::start(vec![Action::Write(events(1, 4) + END)]).await;
+        let running = gateway_with(&[&replica]).await;
 
         let answer = call(&running, "/once-stream/x", "call-1").await;
 
@@ -54,7 +55,7 @@
     run(async {
         let torn = events(1, 2) + &chunk("id: 3\nda");
         let (a, b) = breaking(&torn).await;
-        let running = before(&[&a, &b]).await;
+        let running = gateway_with(&[&a, &b]).await;
         let mut resumed = 0;
 
         for i in 0..6 {
@@ -66,7 +67,7 @@
         }
 
         assert_eq!(resumed, 1);
-        let seen = b.seen.borrow();
+        let seen = b.received.borrow();
         let last = seen.iter().filter_map(|s| s.header("last-event-id")).collect::<Vec<_>>();
         assert_eq!(last, ["2"]);
     });
@@ -77,14 +78,14 @@
 #[test]
 fn a_stream_that_may_not_be_repeated_looks_broken() {
     run(async {
-        let replica = Replica::start(vec![Act::WriteAndClose(events(1, 2))]).await;
-        let running = before(&[&replica]).await;
+        let replica = Replica::start(vec![Action::WriteAndClose(events(1, 2))]).await;
+        let running = gateway_with(&[&replica]).await;
 
         let (status, body) = call(&running, "/once-stream/x", "call-1").await;
 
         assert_eq!(status, 200);
         assert_eq!(body, Err(()));
-        assert_eq!(replica.seen.borrow().len(), 1);
+        assert_eq!(replica.received.borrow().len(), 1);
     });
 }
 
@@ -93,8 +94,8 @@
 #[test]
 fn a_stream_that_breaks_before_its_first_event_is_answered() {
     run(async {
-        let replica = Replica::start(vec![Act::WriteAndClose(events(1, 0))]).await;
-        let running = before(&[&replica]).await;
+        let replica = Replica::start(vec![Action::WriteAndClose(events(1, 0))]).await;
+        let running = gateway_with(&[&replica]).await;
 
         let (status, _) = call(&running, "/once-stream/x", "call-1").await;
 
@@ -105,9 +106,9 @@
 #[test]
 fn a_refused_stream_is_sent_on() {
     run(async {
-        let a = Replica::start(vec![Act::Write(not_run())]).await;
-        let b = Replica::start(vec![Act::Write(events(1, 2) + END)]).await;
-        let running = before(&[&a, &b]).await;
+        let a = Replica::start(vec![Action::Write(refusal())]).await;
+        let b = Replica::start(vec![Action::Write(events(1, 2) + END)]).await;
+        let running = gateway_with(&[&a, &b]).await;
 
         for i in 0..4 {
             let answer = call(&running, "/stream/x", &format!("call-{i}")).await;
@@ -120,8 +121,8 @@
 #[test]
 fn a_caller_that_leaves_a_stream_ends_it_at_the_replica() {
     run(async {
-        let replica = Replica::start(vec![Act::Write(events(1, 2))]).await;
-        let running = before(&[&replica]).await;
+        let replica = Replica::start(vec![Action::Write(events(1, 2))]).await;
+        let running = gateway_with(&[&replica]).await;
         let response = send(&running, "/stream/x", "call-1").await;
         let mut body = response.into_body();
         let first = body.frame().await.unwrap().unwrap().into_data().unwrap();
@@ -139,7 +140,7 @@
 #[test]
 fn streams_of_an_engine_share_a_connection() {
     run(async {
-        let replica = Replica::start(vec![Act::Write(events(1, 2) + END)]).await;
+        let replica = Replica::start(vec![Action::Write(events(1, 2) + END)]).await;
         let held = Rc::new(RefCell::new(Some(view_of_engines(&[&replica]))));
         let running = gateway(&held).await;
 
@@ -157,7 +158,7 @@
 #[test]
 fn a_stream_that_is_lost_with_a_kept_connection_is_not_repeated() {
     run(async {
-        let script = vec![Act::Write(events(1, 2) + END), Act::WriteAndClose(String::new())];
+        let script = vec![Action::Write(events(1, 2) + END), Action::WriteAndClose(String::new())];
         let replica = Replica::start(script).await;
         let held = Rc::new(RefCell::new(Some(view_of_engines(&[&replica]))));
         let running = gateway(&held).await;
@@ -167,7 +168,7 @@
 
         assert_eq!(first, (200, Ok(data(1, 2))));
         assert_eq!(second.0, 502);
-        assert_eq!(replica.seen.borrow().len(), 2);
+        assert_eq!(replica.received.borrow().len(), 2);
         assert_eq!(*replica.connections.borrow(), 1);
     });
 }
@@ -176,8 +177,8 @@
 #[test]
 fn calls_that_may_run_once_share_no_connection_at_a_plain_service() {
     run(async {
-        let replica = Replica::start(vec![Act::Write(events(1, 2) + END)]).await;
-        let running = before(&[&replica]).await;
+        let replica = Replica::start(vec![Action::Write(events(1, 2) + END)]).await;
+        let running = gateway_with(&[&replica]).await;
 
         for i in 0..3 {
             call(&running, "/once-stream/x", &format!("call-{i}")).await.1.unwrap();
@@ -192,13 +193,13 @@
 #[test]
 fn a_question_that_is_never_answered_ends_at_its_deadline() {
     run(async {
-        let replica = Replica::start(vec![Act::Silent]).await;
-        let running = before(&[&replica]).await;
+        let replica = Replica::start(vec![Action::Silent]).await;
+        let running = gateway_with(&[&replica]).await;
 
         let (status, _) = call(&running, "/once-stream/x", "call-1").await;
 
         assert_eq!(status, 504);
-        assert_eq!(replica.seen.borrow().len(), 1);
+        assert_eq!(replica.received.borrow().len(), 1);
         assert_eq!(running.shared.calls.get(), 0);
     });
 }
@@ -208,8 +209,8 @@
 #[test]
 fn a_question_whose_answer_stalls_ends_at_its_deadline() {
     run(async {
-        let replica = Replica::start(vec![Act::Write(events(1, 2))]).await;
-        let running = before(&[&replica]).await;
+        let replica = Replica::start(vec![Action::Write(events(1, 2))]).await;
+        let running = gateway_with(&[&replica]).await;
 
         let (status, body) = call(&running, "/once-stream/x", "call-1").await;
 
--- a/gateway/tests/support/mod.rs
+++ b/gateway/tests/support/mod.rs
@@ -51,12 +51,12 @@
 
 /// What a replica was sent.
 #[derive(Clone, Debug, Default)]
-pub struct Seen {
+pub struct Received {
     pub head: String,
     pub body: Vec<u8>,
 }
 
-impl Seen {
+impl Received {
     pub fn header(&self, name: &str) -> Option<&str> {
         let mut lines = self.head.lines().skip(1).filter_map(|l| l.split_once(": "));
         lines.find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v)
@@ -69,7 +69,7 @@
 
 /// What a replica does with a call.
 #[derive(Clone, Debug)]
-pub enum Act {
+pub enum Action {
     /// Writes these bytes, with `ID` replaced by the call's, and keeps the connection.
     Write(String),
     /// Writes them and closes.
@@ -86,7 +86,7 @@
 #[derive(Clone)]
 pub struct Replica {
     pub address: SocketAddr,
-    pub seen: Rc<RefCell<Vec<Seen>>>,
+    pub received: Rc<RefCell<Vec<Received>>>,
     /// Connections that were made.
     pub connections: Rc<RefCell<u32>>,
     /// Connections that the gateway closed while a call was not answered.
@@ -94,11 +94,11 @@
 }
 
 impl Replica {
-    pub async fn start(script: Vec<Act>) -> Replica {
+    pub async fn start(script: Vec<Action>) -> Replica {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let replica = Replica {
             address: listener.local_addr().unwrap(),
-            seen: Rc::default(),
+            received: Rc::default(),
             connections: Rc::default(),
             cancelled: Rc::default(),
         };
@@ -114,30 +114,30 @@
         replica
     }
 
-    async fn serve(&self, mut stream: TcpStream, script: &[Act], at: &RefCell<usize>) {
+    async fn serve(&self, mut stream: TcpStream, script: &[Action], at: &RefCell<usize>) {
         while let Some(seen) = read(&mut stream).await {
             let id = seen.id().to_owned();
-            self.seen.borrow_mut().push(seen);
+            self.received.borrow_mut().push(seen);
             let act = script[(*at.borrow()).min(script.len() - 1)].clone();
             *at.borrow_mut() += 1;
             match act {
-                Act::Write(text) => {
+                Action::Write(text) => {
                     let _ = stream.write_all(text.replace("ID", &id).as_bytes()).await;
                 }
-                Act::WriteAndClose(text) => {
+                Action::WriteAndClose(text) => {
                     let _ = stream.write_all(text.replace("ID", &id).as_bytes()).await;
                     return;
                 }
-                Act::WriteLater(text, later) => {
+                Action::WriteLater(text, later) => {
                     tokio::time::sleep(later).await;
                     let _ = stream.write_all(text.replace("ID", &id).as_bytes()).await;
                 }
-                Act::WriteAndCloseLater(text, later) => {
+                Action::WriteAndCloseLater(text, later) => {
                     let _ = stream.write_all(text.replace("ID", &id).as_bytes()).await;
                     tokio::time::sleep(later).await;
                     return;
                 }
-                Act::Silent => {
+                Action::Silent => {
                     // Ends when the gateway closes the connection.
                     let _ = stream.read(&mut [0; 16]).await;
                     *self.cancelled.borrow_mut() += 1;
@@ -148,7 +148,7 @@
     }
 }
 
-async fn read(stream: &mut TcpStream) -> Option<Seen> {
+async fn read(stream: &mut TcpStream) -> Option<Received> {
     let mut bytes = Vec::new();
     let end = loop {
         if let Some(at) = bytes.windows(4).position(|w| w == b"\r\n\r\n") {
@@ -161,7 +161,7 @@
         }
     };
     let mut body = bytes.split_off(end);
-    let seen = Seen { head: String::from_utf8(bytes).unwrap(), body: Vec::new() };
+    let seen = Received { head: String::from_utf8(bytes).unwrap(), body: Vec::new() };
     let length = seen.header("content-length").map_or(0, |l| l.parse().unwrap());
     while body.len() < length {
         let mut more = [0; 4096];
@@ -170,11 +170,11 @@
             _ => return None,
         }
     }
-    Some(Seen { body, ..seen })
+    Some(Received { body, ..seen })
 }
 
 /// A whole answer.
-pub fn whole(status: &str, body: &str) -> String {
+pub fn response(status: &str, body: &str) -> String {
     format!(
         "HTTP/1.1 {status}\r\nx-request-id: ID\r\nx-laburnum-proof: p\r\ncontent-length: {}\r\n\r\n{body}",
         body.len()
@@ -182,7 +182,7 @@
 }
 
 /// A refusal of a call that was not run.
-pub fn not_run() -> String {
+pub fn refusal() -> String {
     "HTTP/1.1 503 Busy\r\nx-request-id: ID\r\nx-laburnum-not-run: 1\r\ncontent-length: 0\r\n\r\n"
         .to_owned()
 }
@@ -254,7 +254,7 @@
 }
 
 /// What the store of a test answers; `None` while it is out.
-pub type Held = Rc<RefCell<Option<View>>>;
+pub type Contents = Rc<RefCell<Option<View>>>;
 
 pub fn view(replicas: &[&Replica]) -> View {
     let listed = replicas.iter().enumerate();
@@ -262,7 +262,7 @@
     View { config: Some(Arc::new(config(1))), replicas, gateways: Vec::new() }
 }
 
-fn held_store(held: &Held) -> Store {
+fn held_store(held: &Contents) -> Store {
     let held = Rc::clone(held);
     let out = || store::Error::Unreachable("out".to_owned());
     Store {
@@ -282,7 +282,7 @@
 }
 
 /// A store that also lists the gateways that announce themselves.
-fn listing_store(held: &Held) -> Store {
+fn listing_store(held: &Contents) -> Store {
     let listed = Rc::clone(held);
     let announce = move |entry: Entry, _| {
         if let Some(view) = listed.borrow_mut().as_mut() {
@@ -318,29 +318,29 @@
 
 async fn taken_up(builder: Builder) -> Running {
     let running = builder.start().await.unwrap();
-    until("a configuration", || running.shared.gateway.borrow().version() > 0).await;
+    wait_until("a configuration", || running.shared.gateway.borrow().version() > 0).await;
     running
 }
 
 /// A gateway that is not started yet.
-pub fn builder(held: &Held) -> Builder {
+pub fn builder(held: &Contents) -> Builder {
     let any: SocketAddr = "127.0.0.1:0".parse().unwrap();
     Builder::new(settings("one", any), own::dialect(), held_store(held), any, any)
         .drain_delay(DRAIN_DELAY)
 }
 
 /// Starts a gateway that has taken up what the store holds.
-pub async fn gateway(held: &Held) -> Running {
+pub async fn gateway(held: &Contents) -> Running {
     taken_up(builder(held)).await
 }
 
 /// Starts gateways that know one another through the store.
-pub async fn gateways(held: &Held, count: u64) -> Vec<Running> {
-    gateways_before((0..count).map(|_| listing_store(held)).collect()).await
+pub async fn gateways(held: &Contents, count: u64) -> Vec<Running> {
+    gateways_with_stores((0..count).map(|_| listing_store(held)).collect()).await
 }
 
 /// The same, each with a store of its own to ask.
-pub async fn gateways_before(stores: Vec<Store>) -> Vec<Running> {
+pub async fn gateways_with_stores(stores: Vec<Store>) -> Vec<Running> {
     let mut all = Vec::new();
     for (i, store) in (0..).zip(stores) {
         let peers = SocketAddr::from(([127, 0, 0, 1], port()));
@@ -352,7 +352,7 @@
 }
 
 /// A gateway before a store whose reads find what `found` says, by their number and the eras heard so far.
-pub async fn gateway_that_reads(found: impl Fn(u32, &Eras) -> View + 'static) -> Running {
+pub async fn gateway_reading(found: impl Fn(u32, &Eras) -> View + 'static) -> Running {
     let held = Rc::new(RefCell::new(Some(view(&[]))));
     let mut store = held_store(&held);
     let (eras, reads) = (store.eras.clone(), Cell::new(0));
@@ -366,7 +366,7 @@
 }
 
 /// A store that also lists the gateways that announce themselves, and refuses reads while `away`.
-pub fn store_that_turns_away(held: &Held, away: &Rc<Cell<bool>>) -> Store {
+pub fn refusing_store(held: &Contents, away: &Rc<Cell<bool>>) -> Store {
     let mut store = listing_store(held);
     let away = Rc::clone(away);
     let mut read = std::mem::replace(&mut store.read, Box::new(|| unreachable!()));
@@ -397,7 +397,7 @@
 const MOST_LOOKS: usize = 3_000;
 
 /// Waits for something that must become true.
-pub async fn until(what: &str, mut condition: impl FnMut() -> bool) {
+pub async fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
     for _ in 0..MOST_LOOKS {
         if condition() {
             return;
@@ -408,14 +408,14 @@
 }
 
 /// Sum of a gateway's counters whose line holds `part`.
-pub fn counted(running: &Running, part: &str) -> u64 {
+pub fn counter(running: &Running, part: &str) -> u64 {
     let text = running.shared.metrics.render(&[]);
     let lines = text.lines().filter(|line| line.contains(part));
     lines.filter_map(|line| line.rsplit(' ').next()?.parse::<u64>().ok()).sum()
 }
 
 /// Starts a gateway before these replicas.
-pub async fn before(replicas: &[&Replica]) -> Running {
+pub async fn gateway_with(replicas: &[&Replica]) -> Running {
     gateway(&Rc::new(RefCell::new(Some(view(replicas))))).await
 }
 
--- a/gateway/tests/views.rs
+++ b/gateway/tests/views.rs
@@ -23,15 +23,15 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpListener;
 
-use crate::support::Held;
+use crate::support::Contents;
 use crate::support::config;
-use crate::support::counted;
+use crate::support::counter;
 use crate::support::gateways;
-use crate::support::gateways_before;
+use crate::support::gateways_with_stores;
 use crate::support::listing;
+use crate::support::refusing_store;
 use crate::support::run;
-use crate::support::store_that_turns_away;
-use crate::support::until;
+use crate::support::wait_until;
 
 const GATEWAYS: u64 = 6;
 /// Gateways that read the store for all.
@@ -79,22 +79,22 @@
 }
 
 /// Gateways that have agreed on who reads, and each of which has found nothing to fetch of late.
-async fn settled(held: &Held) -> Vec<Running> {
+async fn settled(held: &Contents) -> Vec<Running> {
     let all = gateways(held, GATEWAYS).await;
     let agreed = || {
         all.iter().all(|g| g.shared.gateway.borrow().gateway_count() == GATEWAYS as usize)
             && all.iter().filter(|g| is_reader(g)).count() == READERS
     };
-    until("readers agreed on", agreed).await;
-    let same = |g: &Running| counted(g, "outcome=\"same\"");
+    wait_until("readers agreed on", agreed).await;
+    let same = |g: &Running| counter(g, "outcome=\"same\"");
     let before: Vec<u64> = all.iter().map(same).collect();
     let asked = || all.iter().zip(&before).all(|(g, b)| is_reader(g) || same(g) > b + 3);
-    until("nothing to fetch", asked).await;
+    wait_until("nothing to fetch", asked).await;
     all
 }
 
 fn bytes(all: &[Running]) -> u64 {
-    all.iter().map(|g| counted(g, "view_bytes_total")).sum()
+    all.iter().map(|g| counter(g, "view_bytes_total")).sum()
 }
 
 /// One gateway refuses all callers seconds after the store has begun to turn it away, though its
@@ -102,22 +102,22 @@
 #[test]
 fn a_reader_that_the_store_turns_away_follows_its_peers() {
     run(async {
-        let held: Held = Rc::new(RefCell::new(Some(view(1, 2))));
+        let held: Contents = Rc::new(RefCell::new(Some(view(1, 2))));
         let away = Rc::new(Cell::new(false));
         let stays = Rc::new(Cell::new(false));
-        let stores = [&away, &stays, &stays].map(|switch| store_that_turns_away(&held, switch));
-        let all = gateways_before(stores.into_iter().collect()).await;
-        until("all know each other", || {
+        let stores = [&away, &stays, &stays].map(|switch| refusing_store(&held, switch));
+        let all = gateways_with_stores(stores.into_iter().collect()).await;
+        wait_until("all know each other", || {
             all.iter().all(|g| g.shared.gateway.borrow().gateway_count() == READERS)
         })
         .await;
         away.set(true);
 
         held.borrow_mut().as_mut().unwrap().replicas.remove(7);
-        until("gone everywhere", || all.iter().all(|g| open(g) == REPLICAS - 1)).await;
+        wait_until("gone everywhere", || all.iter().all(|g| open(g) == REPLICAS - 1)).await;
 
         assert!(is_reader(&all[0]));
-        assert!(counted(&all[0], "call=\"read\",sound=\"false\"") > 0);
+        assert!(counter(&all[0], "call=\"read\",sound=\"false\"") > 0);
     });
 }
 
@@ -127,12 +127,12 @@
 #[test]
 fn one_replica_that_leaves_costs_a_gateway_few_bytes() {
     run(async {
-        let held: Held = Rc::new(RefCell::new(Some(view(1, ROUTES))));
+        let held: Contents = Rc::new(RefCell::new(Some(view(1, ROUTES))));
         let all = settled(&held).await;
         let before = bytes(&all);
 
         held.borrow_mut().as_mut().unwrap().replicas.remove(7);
-        until("gone everywhere", || all.iter().all(|g| open(g) == REPLICAS - 1)).await;
+        wait_until("gone everywhere", || all.iter().all(|g| open(g) == REPLICAS - 1)).await;
 
         let cost = bytes(&all) - before;
         assert!(cost <= CHANGE_BYTES * GATEWAYS, "{cost} bytes");
@@ -145,7 +145,7 @@
 #[test]
 fn changes_in_a_row_cost_a_gateway_few_bytes_each() {
     run(async {
-        let held: Held = Rc::new(RefCell::new(Some(view(1, 2))));
+        let held: Contents = Rc::new(RefCell::new(Some(view(1, 2))));
         let all = settled(&held).await;
         let before = bytes(&all);
 
@@ -153,7 +153,7 @@
             held.borrow_mut().as_mut().unwrap().replicas.remove(7);
             tokio::time::sleep(PAUSE).await;
         }
-        until("gone everywhere", || all.iter().all(|g| open(g) == REPLICAS - CHANGES)).await;
+        wait_until("gone everywhere", || all.iter().all(|g| open(g) == REPLICAS - CHANGES)).await;
 
         let cost = bytes(&all) - before;
         assert!(cost <= CHANGE_BYTES * GATEWAYS * CHANGES as u64, "{cost} bytes");
@@ -163,12 +163,12 @@
 #[test]
 fn one_route_that_is_added_costs_a_gateway_few_bytes() {
     run(async {
-        let held: Held = Rc::new(RefCell::new(Some(view(1, ROUTES))));
+        let held: Contents = Rc::new(RefCell::new(Some(view(1, ROUTES))));
         let all = settled(&held).await;
         let before = bytes(&all);
 
         held.borrow_mut().as_mut().unwrap().config = view(2, ROUTES + 1).config;
-        until("in force everywhere", || {
+        wait_until("in force everywhere", || {
             all.iter().all(|g| g.shared.gateway.borrow().version() == 2)
         })
         .await;
@@ -187,7 +187,7 @@
 #[test]
 fn a_difference_that_leads_elsewhere_is_replaced_by_the_whole_view() {
     run(async {
-        let held: Held = Rc::new(RefCell::new(Some(view(1, 2))));
+        let held: Contents = Rc::new(RefCell::new(Some(view(1, 2))));
         let all = gateways(&held, 1).await;
         let old = all[0].shared.views.borrow().newest().unwrap().clone();
         let mut left = view(1, 2);
@@ -203,7 +203,7 @@
         let fetched = fetch(&all[0].shared, &reader.to_string()).await.unwrap().1;
 
         assert_eq!(fetched, new);
-        assert_eq!(counted(&all[0], "view_mismatches_total"), 1);
+        assert_eq!(counter(&all[0], "view_mismatches_total"), 1);
     });
 }
 
@@ -212,7 +212,7 @@
 #[test]
 fn a_whole_view_may_take_longer_than_a_call() {
     run(async {
-        let held: Held = Rc::new(RefCell::new(Some(view(1, 2))));
+        let held: Contents = Rc::new(RefCell::new(Some(view(1, 2))));
         let all = gateways(&held, 1).await;
         let new = Snapshot::new(view(1, ROUTES), None);
         let whole = Delta::between(Base::default(), &new).encode().unwrap();
