--- a/core/src/gateway/fleet.rs
+++ b/core/src/gateway/fleet.rs
@@ -1,8 +1,12 @@
-//! Replicas of all services: who is there, how loaded, and which one gets a call.
+//! The replicas of all services: membership, load, and choice of a replica for each call.
+//!
+//! [`Fleet::update`] applies a list of replicas, [`Fleet::choose`] selects one for a call, and the
+//! `record_` methods follow each attempt from its start to its end. A replica is known by its
+//! incarnation: what is reported of an earlier one never counts for its successor.
 
-mod amend;
 mod choice;
 mod list;
+mod reconcile;
 mod replica;
 
 use std::collections::BTreeMap;
@@ -22,50 +26,53 @@
 pub use self::choice::Criteria;
 pub use self::choice::Requirements;
 pub use self::list::Changes;
-use self::replica::FIRST_REST;
+use self::replica::INITIAL_BACKOFF;
 pub use self::replica::Listing;
 pub use self::replica::Load;
 pub use self::replica::Outcome;
 pub use self::replica::Replica;
 
-const LONGEST_REST: Span = Span::secs(3);
+/// Upper bound on the backoff after failed connections.
+const MAX_BACKOFF: Span = Span::secs(3);
 /// Weight of the newest outcome in the failure rate.
 const OUTCOME_WEIGHT: f64 = 0.15;
-/// Times as slow as expected from which on a replica is taken for a straggler. Its gaps are not
-/// those of its service; at half of this, bursts make every engine a straggler.
-const STRAGGLER: f64 = 4.0;
-/// Weight of the newest first event in a replica's slowness.
+/// Ratio of actual to expected times to first event from which a replica counts as a straggler, so
+/// that its gaps between events don't count for its service. At half of this ratio, every engine
+/// would be a straggler during a burst.
+const STRAGGLER_SLOWNESS: f64 = 4.0;
+/// Weight of the newest time to first event in a replica's slowness.
 const SLOWNESS_WEIGHT: f64 = 0.15;
 
-/// All replicas.
+/// The replicas of all services as this gateway knows them.
 #[derive(Debug, Default)]
 pub struct Fleet {
     replicas: Arena<Replica>,
     by_id: BTreeMap<String, Key<Replica>>,
     by_digest: BTreeMap<Digest, Key<Replica>>,
     by_service: BTreeMap<String, Vec<Key<Replica>>>,
-    /// Runs that are gone, and since when.
-    gone: BTreeMap<Digest, Time>,
-    /// Calls sent to engines so far; numbers them for their owners.
-    calls: u32,
+    /// Incarnations that were removed, with the time of their removal.
+    removed: BTreeMap<Digest, Time>,
+    /// Number of the last attempt, by which owners of engines identify it.
+    last_call: u32,
     updates: Vec<Update>,
 }
 
 impl Fleet {
-    /// A replica.
+    /// The replica with this key.
     pub fn get(&self, key: Key<Replica>) -> Option<&Replica> {
         self.replicas.get(key)
     }
 
-    /// Whether a run is listed.
-    pub fn contains(&self, run: Digest) -> bool {
-        self.by_digest.contains_key(&run)
+    /// Whether a replica with this incarnation is known.
+    pub fn contains(&self, incarnation: Digest) -> bool {
+        self.by_digest.contains_key(&incarnation)
     }
 
-    /// Whether a run is listed and has sent something after `at`, to any gateway.
-    pub fn active_since(&self, run: Digest, at: Time) -> bool {
-        let key = self.by_digest.get(&run).copied();
-        key.and_then(|key| self.replicas.get(key)).is_some_and(|replica| replica.alive > at)
+    /// Whether a replica with this incarnation is known and has sent data to any gateway after
+    /// `at`.
+    pub fn active_since(&self, incarnation: Digest, at: Time) -> bool {
+        let key = self.by_digest.get(&incarnation).copied();
+        key.and_then(|key| self.replicas.get(key)).is_some_and(|replica| replica.last_seen > at)
     }
 
     /// All replicas.
@@ -73,55 +80,55 @@
         self.replicas.iter().map(|(_, r)| r)
     }
 
-    /// Number of a service's replicas that may get work at `now`.
+    /// Number of a service's replicas that may get calls at `now`.
     pub fn usable(&self, now: Time, service: &str) -> usize {
         let keys = self.by_service.get(service).into_iter().flatten();
         keys.filter(|k| self.replicas.get(**k).is_some_and(|r| r.is_usable(now))).count()
     }
 
-    /// Calls of all gateways at a service's replicas, running or waiting, as far as known.
+    /// Estimated calls of all gateways at a service's replicas, running and waiting.
     pub fn calls(&self, now: Time, service: &str) -> f64 {
         let keys = self.by_service.get(service).into_iter().flatten();
         keys.filter_map(|key| self.replicas.get(*key)).map(|r| r.running(now)).sum()
     }
 
-    /// How many of a service's listed replicas, from the first hash on, hold `wanted` that may get
-    /// work at `now`.
+    /// Length of the shortest prefix of a service's open replicas, in the order of their hashes,
+    /// that contains `wanted` usable ones at `now`; all of them if there are fewer.
     pub fn listed_prefix(&self, now: Time, service: &str, wanted: usize) -> usize {
         let keys = self.by_service.get(service).into_iter().flatten();
         let open = keys.filter_map(|k| self.replicas.get(*k)).filter(|r| !r.closed);
         let mut open: Vec<(u64, bool)> = open.map(|r| (r.hash, r.is_usable(now))).collect();
         open.sort_unstable();
         let mut found = 0;
-        let mut before = |usable: bool| {
-            let more = found < wanted;
+        let mut is_needed = |usable: bool| {
+            let needed = found < wanted;
             found += usize::from(usable);
-            more
+            needed
         };
-        open.into_iter().map(|(_, usable)| usable).take_while(|usable| before(*usable)).count()
+        open.into_iter().map(|(_, usable)| usable).take_while(|usable| is_needed(*usable)).count()
     }
 
-    /// Whether a service has a replica that may get work at `now`, besides those in `tried`.
+    /// Whether a service has a replica besides those in `tried` that may get calls at `now`.
     pub fn has_other(&self, now: Time, service: &str, tried: &[Key<Replica>]) -> bool {
         let mut keys = self.by_service.get(service).into_iter().flatten();
         keys.any(|k| !tried.contains(k) && self.replicas.get(*k).is_some_and(|r| r.is_usable(now)))
     }
 
-    /// Notes that an attempt is sent.
+    /// Records that an attempt is sent.
     pub fn record_sent(&mut self, now: Time, claim: &mut Claim, engine: bool, parts: &[Part]) {
         claim.sent = now;
-        self.calls = self.calls.wrapping_add(1);
-        claim.call = u64::from(self.calls);
+        self.last_call = self.last_call.wrapping_add(1);
+        claim.call = u64::from(self.last_call);
         if engine {
             self.notify_owner(claim, Change::Sent(claim.prefill_ms as f32));
         }
         if let Some(replica) = self.replicas.get_mut(claim.replica) {
-            if replica.own == 0 {
-                replica.quiet_since = now;
+            if replica.own_calls == 0 {
+                replica.silence_start = now;
             }
             replica.engine = engine;
-            replica.own += 1;
-            replica.sensitive += u32::from(claim.sensitive);
+            replica.own_calls += 1;
+            replica.sensitive_streams += u32::from(claim.sensitive);
             replica.prefill_ms += claim.prefill_ms;
             replica.cache.record(now, parts);
         }
@@ -138,35 +145,36 @@
         }
     }
 
-    /// Updates for the owners of engines; calls are numbered by this gateway.
+    /// Removes and returns the updates for the owners of engines. The upper half of their call
+    /// numbers is zero.
     pub fn drain_updates(&mut self) -> Vec<Update> {
         std::mem::take(&mut self.updates)
     }
 
-    /// Records that something came from a replica.
+    /// Records that a replica has sent data, and its load if that was reported.
     pub fn record_activity(&mut self, now: Time, key: Key<Replica>, load: Option<Load>) {
         let Some(replica) = self.replicas.get_mut(key) else {
             return;
         };
-        replica.quiet_since = now;
-        replica.alive = now;
-        replica.rest = FIRST_REST;
+        replica.silence_start = now;
+        replica.last_seen = now;
+        replica.backoff = INITIAL_BACKOFF;
         if let Some(load) = load {
             replica.record_load(now, load.running, load.waiting);
         }
     }
 
-    /// Merges loads that other gateways saw.
-    pub fn receive(&mut self, now: Time, sightings: &[Observation]) {
-        for s in sightings {
-            // What is said of a former life finds none.
+    /// Merges the loads observed by other gateways, as far as they are newer.
+    pub fn receive(&mut self, now: Time, observations: &[Observation]) {
+        for s in observations {
+            // Digests of earlier incarnations are not in the map, so their loads are ignored.
             let key = self.by_digest.get(&s.replica).copied();
             let Some(replica) = key.and_then(|key| self.replicas.get_mut(key)) else {
                 continue;
             };
             let at = gossip::time_before(now, s.age_ms);
             if replica.report.is_none_or(|r| r.at < at) {
-                replica.alive = replica.alive.max(at);
+                replica.last_seen = replica.last_seen.max(at);
                 replica.record_load(at, u32::from(s.running), u32::from(s.waiting));
             }
         }
@@ -193,23 +201,24 @@
         young
     }
 
-    /// This gateway's streams that long prompts would disturb.
+    /// Number of this gateway's streams in progress that the prefill of long prompts would delay.
     pub fn sensitive_streams(&self) -> u32 {
-        self.replicas.iter().map(|(_, r)| r.sensitive).sum()
+        self.replicas.iter().map(|(_, r)| r.sensitive_streams).sum()
     }
 
-    /// Service of a replica, if it answers like its peers: a straggler says nothing about them.
+    /// Service of a replica; `None` for a straggler, whose times say nothing about its service.
     pub fn service_unless_straggler(&self, key: Key<Replica>) -> Option<&str> {
         let replica = self.replicas.get(key)?;
-        (replica.slowness < STRAGGLER).then_some(replica.listing.service.as_str())
+        (replica.slowness < STRAGGLER_SLOWNESS).then_some(replica.listing.service.as_str())
     }
 
-    /// Time until a replica that has work counts as silent; zero if it is now, or unknown.
+    /// Time until a replica with calls in progress counts as silent; zero if it already does, or if
+    /// it is unknown.
     pub fn time_until_silent(&self, now: Time, key: Key<Replica>) -> Span {
         self.replicas.get(key).map_or(Span(0), |r| r.time_until_silent(now))
     }
 
-    /// Notes the first event of an attempt: its prompt has been read.
+    /// Records the first event of an attempt: the prefill of its prompt has ended.
     pub fn record_first_event(&mut self, now: Time, claim: &mut Claim) {
         if claim.first_event_seen {
             return;
@@ -221,13 +230,13 @@
         }
         if let Some(replica) = self.replicas.get_mut(claim.replica) {
             replica.prefill_ms = (replica.prefill_ms - claim.prefill_ms).max(0.0);
-            let took = now.since(claim.sent).as_secs_f64() * 1e3;
-            let ratio = (took / (claim.expected_ms + 25.0)).clamp(0.2, 8.0);
+            let took_ms = now.since(claim.sent).as_secs_f64() * 1e3;
+            let ratio = (took_ms / (claim.expected_ms + 25.0)).clamp(0.2, 8.0);
             replica.slowness += SLOWNESS_WEIGHT * (ratio - replica.slowness);
         }
     }
 
-    /// Notes the end of an attempt that was sent.
+    /// Records the end of an attempt that was sent.
     pub fn record_end(&mut self, now: Time, mut claim: Claim, outcome: Outcome) {
         let key = claim.replica;
         if self.is_engine(key) {
@@ -240,18 +249,18 @@
             }
         }
         if let Some(replica) = self.replicas.get_mut(key) {
-            replica.own = replica.own.saturating_sub(1);
-            replica.sensitive -= u32::from(claim.sensitive).min(replica.sensitive);
+            replica.own_calls = replica.own_calls.saturating_sub(1);
+            replica.sensitive_streams -= u32::from(claim.sensitive).min(replica.sensitive_streams);
         }
         self.record_outcome(now, key, outcome);
     }
 
-    /// Notes what came of an attempt, sent or not.
+    /// Records the outcome of an attempt, whether it was sent or not.
     pub fn record_outcome(&mut self, now: Time, key: Key<Replica>, outcome: Outcome) {
         let Some(replica) = self.replicas.get_mut(key) else {
             return;
         };
-        let failed = match outcome {
+        let failure = match outcome {
             Outcome::Cancelled => return,
             Outcome::Answered => 0.0,
             Outcome::Refused => 0.5,
@@ -261,10 +270,10 @@
                 return;
             }
         };
-        replica.failures += OUTCOME_WEIGHT * (failed - replica.failures);
+        replica.failure_rate += OUTCOME_WEIGHT * (failure - replica.failure_rate);
         if outcome == Outcome::Unreachable {
-            replica.resting_until = now + replica.rest;
-            replica.rest = Span(replica.rest.0 * 2).min(LONGEST_REST);
+            replica.backoff_until = now + replica.backoff;
+            replica.backoff = Span(replica.backoff.0 * 2).min(MAX_BACKOFF);
         }
     }
 }
--- a/core/src/gateway/fleet/choice.rs
+++ b/core/src/gateway/fleet/choice.rs
@@ -1,4 +1,9 @@
-//! Which replica gets a call: the one with the best expected effect on it and on those beside it.
+//! Chooses the replica of a call.
+//!
+//! Each candidate has a cost in milliseconds: the call's expected time to first event, the delay
+//! that it causes to other calls, and surcharges for failures and for leaving the failure domain.
+//! The candidate with the lowest cost gets the call. A long shared prefix is only sent to its home
+//! replicas, which all gateways derive by rendezvous hashing, so that it is cached in few places.
 
 use crate::arena::Key;
 use crate::gateway::ask::Part;
@@ -14,116 +19,118 @@
 use super::Fleet;
 use super::Replica;
 
-/// Milliseconds that a replica's failure rate beyond its peers' costs it, at a rate of one.
+/// Cost in milliseconds of a failure rate that is higher by one than the lowest of the candidates.
 const FAILURE_MS: f64 = 600.0;
-/// Milliseconds for each request that waits inside an engine: at full batches of long prompts an
-/// engine finishes one in about this time.
+/// Queueing time in milliseconds for each request that waits inside an engine: with full batches of
+/// long prompts an engine finishes one request in about this time.
 const WAITING_MS: f64 = 100.0;
-/// Part of the waiting requests that a more urgent one finds ahead of itself.
-const AHEAD_OF_URGENT: f64 = 0.15;
-/// Reading a prompt delays each running request by as much; this part of that counts against it.
-const READING_OTHERS: f64 = 1.0;
-/// From so many tokens on, a shared head is only read at its homes. Elsewhere it would take
-/// several steps of an engine that others wait for, and push other heads out of its cache; under
-/// load that feeds on itself until engines do little but read the same heads again.
-const LONG_SHARED: u64 = 1_000;
-/// Engines that keep a long shared head.
+/// Share of the waiting requests that an engine serves before a request of a higher priority.
+const SHARE_AHEAD_OF_URGENT: f64 = 0.15;
+/// Weight of the delay that the prefill of a prompt causes to each running request.
+const DELAYED_OTHERS_WEIGHT: f64 = 1.0;
+/// Shared prefixes of at least this many tokens are only prefilled at their home replicas.
+/// Elsewhere the prefill would take several steps of a busy engine and evict other prefixes from
+/// its cache. Under load these evictions cause more prefill, until engines mostly recompute the
+/// same prefixes.
+const MIN_HOME_PREFIX_TOKENS: u64 = 1_000;
+/// Home replicas of each long shared prefix.
 const HOMES: usize = 2;
-/// Part of a prompt's shared head that its second home is taken to have cached.
-const AT_SECOND: f64 = 0.3;
-/// Owners queried for a call that may go to any engine.
-const ASKED: usize = 2;
-/// Milliseconds that each running request adds to the first event of one that joins.
+/// Share of a shared prefix that is assumed to be cached at its second home.
+const SECOND_HOME_CACHED_SHARE: f64 = 0.3;
+/// Upper bound on the owners queried for a call that may go to any engine.
+const MAX_QUERIED: usize = 2;
+/// Milliseconds that each running request adds to the time to first event of a new one.
 const RUNNING_MS: f64 = 0.3;
-/// The same for a call that ranks last: most that run have prompts to be read before its own.
-const RUNNING_LAST_MS: f64 = 20.0;
-/// Milliseconds for each call in progress at a plain service, for one slot.
+/// The same for a call of the lowest rank, whose prompt waits for the prompts of most running ones.
+const RUNNING_LOWEST_RANK_MS: f64 = 20.0;
+/// Expected milliseconds of a call at a plain service, for each call in progress per slot.
 const PLAIN_MS: f64 = 15.0;
-/// Milliseconds that leaving the failure domain costs.
-const FOREIGN_MS: f64 = 3.0;
+/// Cost in milliseconds of a replica in another failure domain.
+const OTHER_DOMAIN_MS: f64 = 3.0;
 
-/// What a call needs of a replica.
+/// A call's requirements on its replica.
 #[derive(Clone, Copy, Debug)]
 pub struct Requirements<'a> {
-    /// Service by name.
+    /// Name of the service.
     pub service: &'a str,
     /// Parts of the prompt; empty for plain services.
     pub parts: &'a [Part],
-    /// How the call uses engines; `None` for plain services.
+    /// Criteria for engines; `None` for plain services.
     pub engine: Option<Criteria>,
-    /// Snapshots of owners; if there are any, the call goes to one of these engines.
+    /// Occupancy snapshots from the owners; if any is valid, the call goes to one of these engines.
     pub snapshots: &'a [Snapshot],
 }
 
-/// How a call uses engines.
+/// Criteria by which the engines of a service are compared.
 #[derive(Clone, Copy, Debug)]
 pub struct Criteria {
-    /// Calls that an engine works on at a time.
+    /// Calls that an engine runs at a time.
     pub slots: u32,
-    /// The call is a stream that long prompts would disturb.
+    /// Whether the call is a stream that the prefill of long prompts would delay.
     pub sensitive: bool,
-    /// Engines of the isolated pool.
+    /// Number of engines in the isolated pool.
     pub pool_size: usize,
-    /// Epoch of the plan that says so; 0 without one.
+    /// Epoch of the plan that sets the pool size; 0 without a plan.
     pub epoch: u32,
-    /// No call of the service ranks below it, so it waits behind all others in an engine.
+    /// Whether the call waits behind all others in an engine: no call of the service ranks lower.
     pub lowest_rank: bool,
-    /// Tokens at the head of the prompt that every engine has cached.
+    /// Length of the prompt prefix that every engine has cached, in tokens.
     pub common_tokens: u64,
-    /// Longest pause of its stream that is on time.
+    /// Upper bound on the pauses between events of the call's stream.
     pub pause: Span,
-    /// Time to its first event that is on time, in milliseconds.
+    /// Objective for the time to first event, in milliseconds.
     pub objective_ms: f64,
-    /// What prompts cost at the service's engines.
+    /// Estimator of prefill times at the service's engines.
     pub prefill: Estimator,
 }
 
-/// An attempt's claim on a replica.
+/// The replica chosen for an attempt, with the estimates behind the choice.
 #[derive(Clone, Copy, Debug)]
 pub struct Claim {
-    /// The replica.
+    /// Key of the replica in the fleet.
     pub replica: Key<Replica>,
-    /// Its run.
+    /// Incarnation of the replica.
     pub incarnation: Digest,
-    /// What there is to read of the prompt; see [`prefill::work`].
+    /// Size of the prompt that is not cached; see [`prefill::work`].
     pub work: f64,
-    /// Time to read the prompt, in milliseconds.
+    /// Expected prefill time of the prompt, in milliseconds.
     pub prefill_ms: f64,
     /// Expected time to the first event or answer, in milliseconds.
     pub expected_ms: f64,
-    /// Calls that the replica was taken to have, running and waiting.
+    /// Estimated calls at the replica, running and waiting.
     pub load: f64,
-    /// Calls that were taken to wait inside it.
+    /// Estimated calls that wait inside the replica.
     pub waiting: f64,
     /// Age of the load report, if there is one.
     pub report_age: Option<Span>,
-    /// The replica keeps the shared head of the prompt.
+    /// Whether the replica is the first home of the prompt's shared prefix.
     pub home: bool,
-    /// Engines of the isolated pool.
+    /// Number of engines in the isolated pool.
     pub pool_size: usize,
-    /// Epoch of the plan that says so; 0 if this gateway knows of none and goes by what it saw.
+    /// Epoch of the plan that sets the pool size; 0 if the size is this gateway's own estimate.
     pub epoch: u32,
-    /// The load is from the owner's snapshot.
+    /// Whether the load is from the owner's snapshot.
     pub from_snapshot: bool,
     /// Short hash of the service's name.
     pub(in crate::gateway) service: u32,
-    /// Number of the call at the owner.
+    /// Number of the call, by which the engine's owner identifies it.
     pub(super) call: u64,
-    /// When the attempt was sent.
+    /// Time at which the attempt was sent.
     pub sent: Time,
     pub(in crate::gateway) first_event_seen: bool,
-    /// Nothing unread was known at the engine.
+    /// Whether the time to first event is a sample of the prefill time: the owner knew of no other
+    /// prompt awaiting prefill at the engine.
     pub(in crate::gateway) prefill_sample: bool,
     pub(in crate::gateway) pause: Span,
-    /// When the newest event came.
+    /// Time of the newest event.
     pub(in crate::gateway) last_event: Time,
-    /// The call is a stream of the isolated pool.
+    /// Whether the call is a stream that belongs in the isolated pool.
     pub sensitive: bool,
 }
 
 impl Fleet {
-    /// Chooses a replica of a service other than `tried`, in the caller's `domain` if that is
-    /// about as good.
+    /// Chooses a replica that is not in `tried`; one in the caller's failure `domain` wins if the
+    /// costs are about equal. `None` if the service has no other open replica.
     pub fn choose(
         &self,
         now: Time,
@@ -132,9 +139,10 @@
         tried: &[Key<Replica>],
     ) -> Option<Claim> {
         let inside = self.best(now, requirements, domain, tried, Side::Own);
-        let suits =
-            |criteria: Criteria| inside.as_ref().is_some_and(|(_, claim)| suits(&criteria, claim));
-        if !may_cross(requirements) || requirements.engine.is_some_and(suits) {
+        let suffices = |criteria: Criteria| {
+            inside.as_ref().is_some_and(|(_, claim)| is_sufficient(&criteria, claim))
+        };
+        if !may_cross(requirements) || requirements.engine.is_some_and(suffices) {
             return inside.map(|(_, claim)| claim);
         }
         let outside = self.best(now, requirements, domain, tried, Side::Other);
@@ -142,6 +150,7 @@
         all.min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, claim)| claim)
     }
 
+    /// The claim of the lowest cost on one side, with its cost in milliseconds.
     fn best(
         &self,
         now: Time,
@@ -160,8 +169,8 @@
         scored.into_iter().min_by(|a, b| a.0.total_cmp(&b.0))
     }
 
-    /// Engines to query about a call: the homes of its long shared prefix, else the best by what this
-    /// gateway knows.
+    /// Engines whose owners are to be queried for a call: the homes of its long shared prefix, or
+    /// else those of the lowest cost by this gateway's own data.
     pub fn candidates_to_query(
         &self,
         now: Time,
@@ -172,7 +181,7 @@
         let candidates = self.candidates(now, requirements, tried, Side::Own);
         let mut scored = self.score(now, requirements, domain, &candidates);
         scored.sort_by(|a, b| a.0.total_cmp(&b.0));
-        scored.truncate(ASKED.max(HOMES));
+        scored.truncate(MAX_QUERIED.max(HOMES));
         if may_cross(requirements) {
             scored.extend(self.best(now, requirements, domain, tried, Side::Other));
         }
@@ -180,6 +189,7 @@
         claims.map(Replica::digest).collect()
     }
 
+    /// Replicas that are considered for a call.
     fn candidates(
         &self,
         now: Time,
@@ -195,19 +205,20 @@
         let mut usable: Vec<(Key<Replica>, &Replica)> =
             open.iter().filter(|(_, r)| r.is_usable(now)).copied().collect();
         if let Some(criteria) = requirements.engine {
-            usable = of_lane(&open, usable, &criteria, side);
+            usable = of_side(&open, usable, &criteria, side);
         }
         usable.retain(|(key, _)| !tried.contains(key));
-        // With nothing usable, the one that rested longest may be back.
+        // If no replica is usable, the one whose backoff ends first is the likeliest to answer.
         if usable.is_empty() {
             let untried = open.into_iter().filter(|(key, _)| !tried.contains(key));
-            untried.min_by_key(|(_, r)| r.resting_until).into_iter().collect()
+            untried.min_by_key(|(_, r)| r.backoff_until).into_iter().collect()
         } else {
             usable
         }
     }
 
-    /// Candidates that the call may go to, with their costs in milliseconds.
+    /// Claims on the eligible candidates, with their costs in milliseconds. If any of these has a
+    /// valid snapshot, those without one are left out.
     fn score(
         &self,
         now: Time,
@@ -215,19 +226,19 @@
         domain: &str,
         candidates: &[(Key<Replica>, &Replica)],
     ) -> Vec<(f64, Claim)> {
-        let least_failing =
-            candidates.iter().map(|(_, r)| r.failures).fold(f64::INFINITY, f64::min);
+        let lowest_failure_rate =
+            candidates.iter().map(|(_, r)| r.failure_rate).fold(f64::INFINITY, f64::min);
         let homes = homes(requirements.parts, candidates);
         let service = directory::short_hash(requirements.service);
-        let at_home = requirements
-            .engine
-            .is_some_and(|criteria| own_shared(requirements.parts, &criteria) >= LONG_SHARED);
-        let eligible = candidates.iter().filter(|(key, _)| !at_home || homes.contains(key));
+        let only_homes = requirements.engine.is_some_and(|criteria| {
+            uncached_prefix_tokens(requirements.parts, &criteria) >= MIN_HOME_PREFIX_TOKENS
+        });
+        let eligible = candidates.iter().filter(|(key, _)| !only_homes || homes.contains(key));
         let snapshot = |r: &Replica| {
             requirements.snapshots.iter().find(|s| s.engine == r.digest() && s.is_valid())
         };
-        let any = eligible.clone().any(|(_, r)| snapshot(r).is_some());
-        let eligible = eligible.filter(|(_, r)| !any || snapshot(r).is_some());
+        let any_snapshot = eligible.clone().any(|(_, r)| snapshot(r).is_some());
+        let eligible = eligible.filter(|(_, r)| !any_snapshot || snapshot(r).is_some());
         let scored = eligible.map(|(key, replica)| {
             let snapshot = snapshot(replica);
             let (work, expected_ms) = match requirements.engine {
@@ -244,12 +255,14 @@
             let prefill_ms =
                 requirements.engine.map_or(0.0, |criteria| criteria.prefill.prefill_ms(work));
             let load = snapshot.map_or(replica.running(now), |s| f64::from(s.calls));
-            let reading_others = match requirements.engine {
-                Some(criteria) => READING_OTHERS * prefill_ms * load.min(f64::from(criteria.slots)),
+            let delayed_others_ms = match requirements.engine {
+                Some(criteria) => {
+                    DELAYED_OTHERS_WEIGHT * prefill_ms * load.min(f64::from(criteria.slots))
+                }
                 None => 0.0,
             };
-            let foreign = if replica.listing.domain == domain { 0.0 } else { FOREIGN_MS };
-            let failing = FAILURE_MS * (replica.failures - least_failing);
+            let domain_ms = if replica.listing.domain == domain { 0.0 } else { OTHER_DOMAIN_MS };
+            let failure_ms = FAILURE_MS * (replica.failure_rate - lowest_failure_rate);
             let sensitive = requirements.engine.is_some_and(|criteria| criteria.sensitive);
             let claim = Claim {
                 replica: *key,
@@ -273,15 +286,16 @@
                 last_event: now,
                 sensitive,
             };
-            (expected_ms + reading_others + foreign + failing, claim)
+            (expected_ms + delayed_others_ms + domain_ms + failure_ms, claim)
         });
         scored.collect()
     }
 }
 
-/// Replicas in the lane of sensitive streams, or those outside of it for other calls; `open` are all
-/// that are listed. The lane is the first of these in the order of their hashes.
-fn of_lane<'a>(
+/// The `usable` replicas on one side of the isolated pool's boundary, or all of them if that side
+/// has none. The pool is the first `pool_size` of the `open` replicas, in the order of their
+/// hashes.
+fn of_side<'a>(
     open: &[(Key<Replica>, &'a Replica)],
     usable: Vec<(Key<Replica>, &'a Replica)>,
     criteria: &Criteria,
@@ -290,53 +304,54 @@
     if criteria.pool_size == 0 || criteria.pool_size >= usable.len() {
         return usable;
     }
-    // Which engines are listed all gateways know alike; which of them one could not reach a moment
-    // ago is its own affair, and must not move the bounds of the lane.
+    // The boundary depends on the listed replicas, which all gateways agree on. A replica that only
+    // this gateway failed to reach must not move it.
     let mut hashes: Vec<u64> = open.iter().map(|(_, r)| r.hash).collect();
     let (_, last, _) = hashes.select_nth_unstable(criteria.pool_size - 1);
-    let in_lane = |r: &Replica| r.hash <= *last;
+    let in_pool = |r: &Replica| r.hash <= *last;
     let wanted = criteria.sensitive == (side == Side::Own);
-    let there: Vec<_> = usable.iter().filter(|(_, r)| in_lane(r) == wanted).copied().collect();
-    if there.is_empty() { usable } else { there }
+    let matching: Vec<_> = usable.iter().filter(|(_, r)| in_pool(r) == wanted).copied().collect();
+    if matching.is_empty() { usable } else { matching }
 }
 
-/// Which engines are looked at.
+/// Side of the isolated pool's boundary, from the point of view of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Side {
-    /// The call's own: the isolated pool for its streams, the others for all other calls.
+    /// The isolated pool for sensitive streams, the remaining engines for all other calls.
     Own,
-    /// The others.
+    /// The opposite side.
     Other,
 }
 
-/// Whether a call may be sent to the other side of the lane's end where its own has no room. Calls that
-/// rank last are the long prompts that the lane is kept from.
+/// Whether a call may go to the other side of the isolated pool's boundary if its own side has no
+/// capacity. Calls of the lowest rank may not: they have the long prompts that the pool keeps out.
 fn may_cross(requirements: &Requirements<'_>) -> bool {
     requirements.engine.is_some_and(|criteria| !criteria.lowest_rank && criteria.pool_size > 0)
 }
 
-/// Whether a call is well off on its own side.
+/// Whether the best replica of a call's own side is good enough not to consider the other side.
 ///
-/// A stream that waits for a place in the lane for longer than its objective is late for sure, and may
-/// be on time elsewhere: with the lane alone, one in four questions waited for up to 1.5 s in the first
-/// two seconds of a burst. A call that ranks between has no place where it would stop one that ranks
-/// below it, whose prompt would be read again; the lane may have one. Free to choose, such calls took
-/// the lane for its short queues, and the streams there paused: on a day of high load 41 in 100
-/// questions were late, against 31.
-fn suits(criteria: &Criteria, claim: &Claim) -> bool {
-    let stops_another =
+/// A stream that waits for a slot in the pool for longer than its objective is certainly late there
+/// and may be on time elsewhere: when streams could not leave the pool, a quarter of the short ones
+/// waited for up to 1.5 s in the first two seconds of a burst. A call of a middle rank that goes to
+/// a full engine preempts one of a lower rank, whose prompt is then prefilled again; the pool may
+/// have a free slot. Such calls may not simply compare both sides, because the pool has the shorter
+/// queues and its streams would be delayed: under high load 41 % of the short streams were then
+/// late, and 31 % with this rule.
+fn is_sufficient(criteria: &Criteria, claim: &Claim) -> bool {
+    let preempts =
         !criteria.sensitive && claim.from_snapshot && claim.load >= f64::from(criteria.slots);
-    claim.expected_ms <= criteria.objective_ms && !stops_another
+    claim.expected_ms <= criteria.objective_ms && !preempts
 }
 
-/// Tokens of a prompt's shared head that not every engine has cached.
-fn own_shared(parts: &[Part], criteria: &Criteria) -> u64 {
-    let head = &parts[..parts.len().saturating_sub(1)];
-    let shared: u64 = head.iter().map(|p| u64::from(p.tokens)).sum();
+/// Tokens of a prompt's shared prefix that not every engine has cached.
+fn uncached_prefix_tokens(parts: &[Part], criteria: &Criteria) -> u64 {
+    let prefix = &parts[..parts.len().saturating_sub(1)];
+    let shared: u64 = prefix.iter().map(|p| u64::from(p.tokens)).sum();
     shared.saturating_sub(criteria.common_tokens)
 }
 
-/// How near a replica is to a prompt's shared head.
+/// Position of a replica among the homes of a prompt's shared prefix.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Home {
     First,
@@ -354,11 +369,12 @@
     }
 }
 
-/// The replicas that keep the shared head of a prompt, alike for all gateways.
+/// The home replicas of a prompt's shared prefix, the same at all gateways.
 ///
-/// The last part belongs to the call or its session; the one before it is the longest that calls
-/// share. Gateways agree by rendezvous without a message, so each part is read once, and what the
-/// first home has no room for finds the part at the second.
+/// The last part of a prompt belongs to the call or its session, and the shared prefix ends with
+/// the part before it. Gateways agree on the homes by rendezvous hashing, without a message, so
+/// that one engine prefills each prefix. Calls that the first home has no capacity for find the
+/// prefix cached at the second.
 fn homes(parts: &[Part], candidates: &[(Key<Replica>, &Replica)]) -> [Key<Replica>; HOMES] {
     let shared = &parts[..parts.len().saturating_sub(1)];
     let id = shared.last().or(parts.first()).map_or(0, |p| p.id);
@@ -373,7 +389,8 @@
     best.map(|(_, key)| key)
 }
 
-/// What there is to read of the prompt, and expected time to the first event in milliseconds.
+/// Size of the prompt that is not cached (see [`prefill::work`]), and the expected time to first
+/// event at an engine in milliseconds.
 fn engine_ms(
     now: Time,
     requirements: &Requirements<'_>,
@@ -389,36 +406,38 @@
         Home::First => known.max(shared),
         Home::Second => known.max(
             criteria.common_tokens
-                + ((shared - criteria.common_tokens.min(shared)) as f64 * AT_SECOND) as u64,
+                + ((shared - criteria.common_tokens.min(shared)) as f64 * SECOND_HOME_CACHED_SHARE)
+                    as u64,
         ),
         Home::None => known,
     };
     let work = prefill::work(cached, total.saturating_sub(cached));
-    let reading = criteria.prefill.prefill_ms(work);
+    let prefill_ms = criteria.prefill.prefill_ms(work);
     if let Some(snapshot) = snapshot {
-        return (work, kept_ms(criteria, reading, snapshot));
+        return (work, snapshot_ms(criteria, prefill_ms, snapshot));
     }
     let running = replica.running(now);
-    let over = (running - f64::from(criteria.slots)).max(0.0);
-    let waiting = replica.waiting(now).max(over);
-    let ahead = if criteria.lowest_rank { waiting } else { waiting * AHEAD_OF_URGENT };
-    let queue = replica.prefill_ms + WAITING_MS * ahead;
-    let beside = if criteria.lowest_rank { RUNNING_LAST_MS } else { RUNNING_MS };
-    (work, reading + queue + beside * running)
+    let excess = (running - f64::from(criteria.slots)).max(0.0);
+    let waiting = replica.waiting(now).max(excess);
+    let ahead = if criteria.lowest_rank { waiting } else { waiting * SHARE_AHEAD_OF_URGENT };
+    let queue_ms = replica.prefill_ms + WAITING_MS * ahead;
+    let per_running_ms = if criteria.lowest_rank { RUNNING_LOWEST_RANK_MS } else { RUNNING_MS };
+    (work, prefill_ms + queue_ms + per_running_ms * running)
 }
 
-/// Expected time to the first event by an owner's snapshot, in milliseconds: until all prompts there
-/// are read, or enough calls have ended, whichever is later.
-fn kept_ms(criteria: &Criteria, prefill_ms: f64, snapshot: &Snapshot) -> f64 {
-    let ahead = if criteria.lowest_rank { 1.0 } else { AHEAD_OF_URGENT };
-    // Most calls in the lane are as urgent as this one, which passes none of them.
-    let among_equals = criteria.sensitive && criteria.pool_size > 0;
-    let behind = if among_equals { 1.0 } else { ahead };
-    let over = (f64::from(snapshot.calls) + 1.0 - f64::from(criteria.slots)).max(0.0);
-    let place = over * f64::from(snapshot.interval_ms);
-    (behind * place).max(ahead * f64::from(snapshot.pending_prefill_ms)) + prefill_ms
+/// Expected time to first event by an owner's snapshot, in milliseconds: all pending prompts must
+/// be prefilled and enough calls must end, and then the call's own prompt is prefilled.
+fn snapshot_ms(criteria: &Criteria, prefill_ms: f64, snapshot: &Snapshot) -> f64 {
+    let ahead = if criteria.lowest_rank { 1.0 } else { SHARE_AHEAD_OF_URGENT };
+    // Most calls in the isolated pool have the same priority, so that a new one overtakes none.
+    let equal_priority = criteria.sensitive && criteria.pool_size > 0;
+    let slot_ahead = if equal_priority { 1.0 } else { ahead };
+    let excess = (f64::from(snapshot.calls) + 1.0 - f64::from(criteria.slots)).max(0.0);
+    let slot_ms = excess * f64::from(snapshot.interval_ms);
+    (slot_ahead * slot_ms).max(ahead * f64::from(snapshot.pending_prefill_ms)) + prefill_ms
 }
 
+/// Expected time to the answer of a plain service, in milliseconds.
 fn plain_ms(now: Time, replica: &Replica) -> f64 {
     let busy = replica.running(now);
     let slots = f64::from(replica.listing.slots.max(1));
--- a/core/src/gateway/fleet/list.rs
+++ b/core/src/gateway/fleet/list.rs
@@ -1,5 +1,8 @@
-//! What a list of replicas changes: who comes, goes, starts again, or is used on although it is
-//! missing.
+//! Applies lists of replicas from the store: adds, replaces, closes and retains replicas.
+//!
+//! A closed replica gets no new calls; it is removed once it is no longer listed and has no calls
+//! in progress. After an outage of the store, entries may be missing although their replicas run;
+//! these replicas are retained until their entries are back or are known to be gone.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -11,27 +14,28 @@
 use crate::gateway::outage::Absence;
 use crate::time::Time;
 
-/// What a list changed, by identity of the replica.
+/// Changes made by a list, as ids of replicas.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Changes {
-    /// Listed for the first time.
+    /// Replicas that were not known before.
     pub added: Vec<String>,
-    /// Another life is there than before.
+    /// Replicas with a new incarnation, service or address.
     pub replaced: Vec<String>,
-    /// Gets nothing new from now on.
+    /// Replicas that get no new calls from now on.
     pub closed: Vec<String>,
-    /// Not listed, and used all the same, as its lease may have lapsed in an outage of the store.
+    /// Replicas that are missing from the list and stay in use, because their leases may have
+    /// expired in an outage of the store.
     pub retained: Vec<String>,
 }
 
 impl Fleet {
-    /// Takes the list of replicas in; returns what changed by it.
+    /// Applies a list of replicas.
     ///
-    /// With `retain_missing`, entries that are not listed stay as they are: after an outage of the
-    /// store entries are missing for a moment although their replicas live, and going by the list
-    /// alone would empty the fleet.
+    /// With `retain_missing`, replicas that are not listed stay in use: after an outage of the
+    /// store, entries are missing for a moment although their replicas run, and closing these would
+    /// empty the fleet.
     pub fn update(&mut self, now: Time, listings: Vec<Listing>, retain_missing: bool) -> Changes {
-        self.forget_gone(now);
+        self.expire_removed(now);
         let mut added = Vec::new();
         let mut replaced = Vec::new();
         let mut closed = Vec::new();
@@ -40,8 +44,8 @@
             let id = listing.incarnation.id.clone();
             let known = self.by_id.get(&id).copied();
             if listing.is_unreadable() {
-                // Nobody can say what has become of a replica whose entry is spoilt, so it gets
-                // nothing new; what was learnt of it is kept for its next readable entry.
+                // The state of a replica with an unreadable entry is unknown, so that it gets no
+                // new calls. Its load and failure rate are kept for its next readable entry.
                 if let Some(key) = known {
                     closed.extend(self.close(key).then(|| id.clone()));
                     listed.insert(id, key);
@@ -49,10 +53,10 @@
                 continue;
             }
             let key = match known {
-                Some(key) if self.is_same_life(key, &listing) => key,
+                Some(key) if self.is_same_incarnation(key, &listing) => key,
                 Some(key) => {
-                    // Late events of the former life find nothing under its key.
-                    self.forget(now, &id, key);
+                    // Late events of the earlier incarnation find no replica under its key.
+                    self.remove(now, &id, key);
                     replaced.push(id.clone());
                     self.insert(now, listing.clone())
                 }
@@ -65,7 +69,7 @@
                 if listing.leaving && !replica.closed {
                     closed.push(id.clone());
                 }
-                // An entry that left and is listed again lives: its lease had lapsed.
+                // A closed replica that is listed again runs: only its lease had expired.
                 replica.closed = listing.leaving;
                 replica.retained = false;
                 replica.listing = listing;
@@ -84,18 +88,18 @@
         }
         for (id, key) in missing {
             closed.extend(self.close(key).then(|| id.clone()));
-            if self.replicas.get(key).is_some_and(|r| r.own == 0) {
-                self.forget(now, &id, key);
+            if self.replicas.get(key).is_some_and(|r| r.own_calls == 0) {
+                self.remove(now, &id, key);
             }
         }
         Changes { added, replaced, closed, retained: Vec::new() }
     }
 
-    /// Whether an entry is of the life that is known.
+    /// Whether an entry is of the known incarnation, service and address.
     ///
-    /// Only equality counts, not which start is the greater: the list is the newest, and a clock
-    /// that was set back would pin the dead life.
-    fn is_same_life(&self, key: Key<Replica>, listing: &Listing) -> bool {
+    /// Incarnations are compared for equality and not for their order, because the list is the
+    /// newest information: if a clock was set back, an order would favour the earlier incarnation.
+    fn is_same_incarnation(&self, key: Key<Replica>, listing: &Listing) -> bool {
         self.replicas.get(key).is_some_and(|replica| {
             let known = &replica.listing;
             known.incarnation == listing.incarnation
@@ -104,7 +108,7 @@
         })
     }
 
-    /// Closes a replica; `false` if it was closed or is unknown.
+    /// Closes a replica; `false` if it was already closed or is unknown.
     fn close(&mut self, key: Key<Replica>) -> bool {
         let Some(replica) = self.replicas.get_mut(key) else {
             return false;
@@ -113,8 +117,8 @@
         !std::mem::replace(&mut replica.closed, true)
     }
 
-    /// How many of the replicas in use are not among `listings`, against those that are. One whose
-    /// entry is unreadable is among them.
+    /// Compares the number of replicas in use that `listings` lacks with the number listed, for
+    /// each service and in all. A replica with an unreadable entry counts as listed.
     pub fn absence(&self, listings: &[Listing]) -> Absence {
         let listed: BTreeSet<&str> = listings.iter().map(|l| l.incarnation.id.as_str()).collect();
         let mut services: BTreeMap<&str, (usize, usize)> = BTreeMap::new();
@@ -133,7 +137,7 @@
         }
     }
 
-    /// The service that an entry names, or that its replica was known for if it is unreadable.
+    /// The service in an entry; for an unreadable entry, the last known service of its replica.
     fn service_of<'a>(&'a self, listing: &'a Listing) -> &'a str {
         if !listing.is_unreadable() {
             return &listing.service;
@@ -142,6 +146,7 @@
         known.map_or("", |replica| &replica.listing.service)
     }
 
+    /// Retains the open replicas among `missing`; returns their ids.
     fn retain_all(&mut self, missing: &[(String, Key<Replica>)]) -> Vec<String> {
         let mut retained = Vec::new();
         for (id, key) in missing {
@@ -155,7 +160,8 @@
         retained
     }
 
-    /// Closes the replicas that were kept although their entries are missing; returns their ids.
+    /// Closes the replicas that were retained although their entries are missing; returns their
+    /// ids.
     pub fn close_retained(&mut self) -> Vec<String> {
         let mut closed = Vec::new();
         for (id, key) in &self.by_id {
@@ -177,20 +183,20 @@
         self.by_id.insert(id, key);
         if let Some(replica) = self.replicas.get(key) {
             self.by_digest.insert(replica.digest(), key);
-            // Its entry had lapsed, and is back.
-            self.gone.remove(&replica.digest());
+            // The entry of a removed replica is back: only its lease had expired.
+            self.removed.remove(&replica.digest());
         }
         self.by_service.entry(service).or_default().push(key);
         key
     }
 
-    fn forget(&mut self, now: Time, id: &str, key: Key<Replica>) {
+    fn remove(&mut self, now: Time, id: &str, key: Key<Replica>) {
         self.by_id.remove(id);
         let Some(replica) = self.replicas.remove(key) else {
             return;
         };
         self.by_digest.remove(&replica.digest());
-        self.gone.insert(replica.digest(), now);
+        self.removed.insert(replica.digest(), now);
         if let Some(keys) = self.by_service.get_mut(&replica.listing.service) {
             keys.retain(|k| *k != key);
         }
--- a/core/src/gateway/fleet/replica.rs
+++ b/core/src/gateway/fleet/replica.rs
@@ -1,4 +1,4 @@
-//! One replica as a gateway sees it: load, silence, rest and what it has cached.
+//! One replica as this gateway observes it: load, liveness, backoff and cached prompt parts.
 
 use crate::gateway::engine::Cache;
 use crate::incarnation::Digest;
@@ -6,37 +6,39 @@
 use crate::time::Span;
 use crate::time::Time;
 
-/// A replica with work that has said nothing for this long gets no more, and what it has moves
-/// elsewhere. A gateway may have a single request in a full engine's queue, so this is longer than
-/// such a queue lasts; a host that is gone shows sooner by its connections.
+/// An engine with calls in progress that sends nothing for this long gets no new calls, and those
+/// in progress are sent elsewhere. It is longer than a full engine's queue lasts, because a
+/// gateway's only call at an engine may be in that queue. Broken connections reveal a lost host
+/// sooner.
 const ENGINE_SILENCE: Span = Span::millis(2_500);
 /// The same for plain services, whose calls take tens of milliseconds.
 const PLAIN_SILENCE: Span = Span::millis(300);
-/// How long a replica is left alone after no connection could be made; doubles up to the longest.
-pub(super) const FIRST_REST: Span = Span::millis(400);
-/// A load report counts in full while it is young, then less and less, and in the end nothing.
-const REPORT_YOUNG: Span = Span::millis(1_000);
-const REPORT_LIFE: Span = Span::millis(3_000);
+/// Backoff after the first failed connection; it doubles with each further one.
+pub(super) const INITIAL_BACKOFF: Span = Span::millis(400);
+/// Age up to which a load report has its full weight.
+const REPORT_FULL_WEIGHT: Span = Span::millis(1_000);
+/// Age at which a load report has no more weight; in between, the weight falls linearly.
+const REPORT_LIFETIME: Span = Span::millis(3_000);
 
 /// An entry of the list of replicas.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Listing {
-    /// The run of the replica.
+    /// Incarnation of the replica, with its id.
     pub incarnation: Incarnation,
-    /// Service by name.
+    /// Name of the service.
     pub service: String,
     /// IP address and port.
     pub address: String,
     /// Failure domain.
     pub domain: String,
-    /// Calls it works on at a time.
+    /// Calls that the replica runs at a time.
     pub slots: u32,
-    /// It is leaving and must get nothing new.
+    /// Whether the replica is leaving, so that it must get no new calls.
     pub leaving: bool,
 }
 
 impl Listing {
-    /// An entry of which only the identity is known: it names no replica to use.
+    /// An entry of which only the id can be read; its replica must get no new calls.
     pub fn unreadable(id: &str) -> Listing {
         Listing {
             incarnation: Incarnation::without_start(id),
@@ -48,23 +50,24 @@
         }
     }
 
-    /// Whether only the identity is known.
+    /// Whether only the id of the entry could be read.
     pub fn is_unreadable(&self) -> bool {
         self.address.is_empty()
     }
 }
 
-/// What a replica said of its load.
+/// Load that a replica reports of itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Load {
-    /// Calls it works on.
+    /// Running calls.
     pub running: u32,
-    /// Calls that wait inside it.
+    /// Calls that wait inside the replica.
     pub waiting: u32,
-    /// Calls it can work on at a time.
+    /// Calls that the replica runs at a time.
     pub slots: u32,
 }
 
+/// Newest load of a replica, reported to this gateway or to another one.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Report {
     pub(super) running: u32,
@@ -77,40 +80,50 @@
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// A whole answer that is no failure of the replica.
+    /// The replica gave a complete answer that is not a failure of its own.
     Answered,
-    /// The caller left, or the gateway moved the call away.
+    /// The caller disconnected, or the gateway moved the call to another replica.
     Cancelled,
-    /// It refused without running the call.
+    /// The replica refused the call without running it.
     Refused,
     /// No connection could be made.
     Unreachable,
-    /// Another run of a replica has the address.
+    /// Another incarnation, or another replica, has the address.
     Replaced,
-    /// A failure status, a broken or wrong answer.
+    /// The replica answered with a failure status, or with a broken or wrong answer.
     Failed,
 }
 
-/// One replica as this gateway sees it.
+/// State of one replica as this gateway observes it.
 #[derive(Debug)]
 pub struct Replica {
-    /// Its entry in the list.
+    /// Newest entry in the list of replicas.
     pub listing: Listing,
-    /// It must get nothing new: it is leaving, or its entry is gone.
+    /// Whether the replica must get no new calls: it is leaving, or its entry is missing.
     pub closed: bool,
-    /// Its entry is missing and may have lapsed in an outage of the store.
+    /// Whether the replica is in use although its entry is missing, which may have expired in an
+    /// outage of the store.
     pub(super) retained: bool,
     pub(super) hash: u64,
-    pub(super) sensitive: u32,
+    /// This gateway's streams in progress that the prefill of long prompts would delay.
+    pub(super) sensitive_streams: u32,
+    /// Whether the replica is an engine and not one of a plain service.
     pub(super) engine: bool,
-    pub(super) own: u32,
+    /// This gateway's attempts in progress.
+    pub(super) own_calls: u32,
+    /// Prefill time of this gateway's attempts before their first event, in milliseconds.
     pub(super) prefill_ms: f64,
-    pub(super) quiet_since: Time,
-    /// When it was last known to live, from what it sent to any gateway.
-    pub(super) alive: Time,
-    pub(super) resting_until: Time,
-    pub(super) rest: Span,
-    pub(super) failures: f64,
+    /// Time from which silence counts: the last data, or the start of the first attempt after a
+    /// time without any in progress.
+    pub(super) silence_start: Time,
+    /// Time at which the replica last sent data to any gateway.
+    pub(super) last_seen: Time,
+    pub(super) backoff_until: Time,
+    /// Backoff after the next failed connection.
+    pub(super) backoff: Span,
+    /// Moving average of attempts' outcomes, from 0 for answered to 1 for failed.
+    pub(super) failure_rate: f64,
+    /// Moving average of the ratio of actual to expected times to first event.
     pub(super) slowness: f64,
     pub(super) report: Option<Report>,
     pub(super) cache: Cache,
@@ -123,69 +136,71 @@
             closed: listing.leaving,
             retained: false,
             listing,
-            sensitive: 0,
+            sensitive_streams: 0,
             engine: false,
-            own: 0,
+            own_calls: 0,
             prefill_ms: 0.0,
-            quiet_since: now,
-            alive: Time(0),
-            resting_until: Time(0),
-            rest: FIRST_REST,
-            failures: 0.0,
+            silence_start: now,
+            last_seen: Time(0),
+            backoff_until: Time(0),
+            backoff: INITIAL_BACKOFF,
+            failure_rate: 0.0,
             slowness: 1.0,
             report: None,
             cache: Cache::default(),
         }
     }
 
-    /// Attempts of this gateway in progress.
-    pub fn own(&self) -> u32 {
-        self.own
+    /// Number of this gateway's attempts in progress.
+    pub fn own_calls(&self) -> u32 {
+        self.own_calls
     }
 
     pub(super) fn time_until_silent(&self, now: Time) -> Span {
         let bound = if self.engine { ENGINE_SILENCE } else { PLAIN_SILENCE };
-        (self.quiet_since + bound).since(now)
+        (self.silence_start + bound).since(now)
     }
 
     pub(super) fn is_silent(&self, now: Time) -> bool {
-        self.own > 0 && self.time_until_silent(now).0 == 0
+        self.own_calls > 0 && self.time_until_silent(now).0 == 0
     }
 
     pub(super) fn is_usable(&self, now: Time) -> bool {
-        !self.closed && now >= self.resting_until && !self.is_silent(now)
+        !self.closed && now >= self.backoff_until && !self.is_silent(now)
     }
 
-    /// Short hash of the run, by which gateways speak of it.
+    /// Short hash of the incarnation, which identifies it in messages between gateways.
     pub(super) fn digest(&self) -> Digest {
         Digest(self.hash as u32)
     }
 
     pub(super) fn record_load(&mut self, at: Time, running: u32, waiting: u32) {
-        // Added up as integers, an absurd report would overflow.
-        let there = f64::from(running) + f64::from(waiting);
-        let others = (there - f64::from(self.own)).max(0.0);
+        // As integers, the sum of an absurd report would overflow.
+        let total = f64::from(running) + f64::from(waiting);
+        let others = (total - f64::from(self.own_calls)).max(0.0);
         self.report = Some(Report { running, waiting: f64::from(waiting), others, at });
     }
 
-    /// Part of the last report that still counts.
+    /// Weight of the newest report by its age, from 0 to 1.
     fn report_weight(&self, now: Time) -> f64 {
         let Some(report) = self.report else {
             return 0.0;
         };
-        let age = now.since(report.at).0.saturating_sub(REPORT_YOUNG.0);
-        (1.0 - age as f64 / (REPORT_LIFE.0 - REPORT_YOUNG.0) as f64).max(0.0)
+        let age = now.since(report.at).0.saturating_sub(REPORT_FULL_WEIGHT.0);
+        (1.0 - age as f64 / (REPORT_LIFETIME.0 - REPORT_FULL_WEIGHT.0) as f64).max(0.0)
     }
 
-    /// Calls of all gateways that it has, as far as known.
+    /// Estimated calls of all gateways at the replica.
     pub(super) fn running(&self, now: Time) -> f64 {
-        f64::from(self.own) + self.others(now)
+        f64::from(self.own_calls) + self.others(now)
     }
 
+    /// Estimated calls of other gateways at the replica.
     pub(super) fn others(&self, now: Time) -> f64 {
         self.report.map_or(0.0, |r| r.others) * self.report_weight(now)
     }
 
+    /// Estimated calls that wait inside the replica.
     pub(super) fn waiting(&self, now: Time) -> f64 {
         self.report.map_or(0.0, |r| r.waiting) * self.report_weight(now)
     }
--- a/core/tests/gateway/restart.rs
+++ b/core/tests/gateway/restart.rs
@@ -108,7 +108,7 @@
     assert!(known.load > 16.0 && known.prefill_ms < 60.0);
     assert_eq!(seen(&mut gateway, START), NOTHING);
     assert_ne!(now.replica, known.replica);
-    assert_eq!(gateway.fleet().iter().map(|r| r.own()).collect::<Vec<_>>(), [0]);
+    assert_eq!(gateway.fleet().iter().map(|r| r.own_calls()).collect::<Vec<_>>(), [0]);
     assert_eq!(gateway.fleet().sensitive_streams(), 0);
     assert_eq!(gateway.silent_in(START, &running.claim), Span(0));
 }
@@ -146,7 +146,7 @@
     gateway.record_end(START, former.claim, Outcome::Replaced);
 
     assert_eq!(seen(&mut gateway, START), before);
-    assert_eq!(gateway.fleet().iter().map(|r| r.own()).collect::<Vec<_>>(), [1]);
+    assert_eq!(gateway.fleet().iter().map(|r| r.own_calls()).collect::<Vec<_>>(), [1]);
     assert_eq!(gateway.fleet().usable(START, "engines"), 1);
 }
 
