--- a/core/src/gateway/config.rs
+++ b/core/src/gateway/config.rs
@@ -55,7 +55,7 @@
     /// Memory for running requests and cached prompt parts, in tokens.
     pub kv_tokens: u64,
     /// Tokens in one event of a stream.
-    pub stride: u32,
+    pub tokens_per_event: u32,
 }
 
 /// A service that calls are routed to.
--- a/core/src/gateway/engine.rs
+++ b/core/src/gateway/engine.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::gateway::ask::Part;
+use crate::gateway::submission::Part;
 use crate::time::Span;
 use crate::time::Time;
 
--- a/core/src/gateway/fleet.rs
+++ b/core/src/gateway/fleet.rs
@@ -13,11 +13,11 @@
 
 use crate::arena::Arena;
 use crate::arena::Key;
-use crate::gateway::ask::Part;
 use crate::gateway::gossip;
 use crate::gateway::gossip::Observation;
 use crate::gateway::occupancy::Change;
 use crate::gateway::occupancy::Update;
+use crate::gateway::submission::Part;
 use crate::incarnation::Digest;
 use crate::time::Span;
 use crate::time::Time;
--- a/core/src/gateway/fleet/choice.rs
+++ b/core/src/gateway/fleet/choice.rs
@@ -6,11 +6,11 @@
 //! replicas, which all gateways derive by rendezvous hashing, so that it is cached in few places.
 
 use crate::arena::Key;
-use crate::gateway::ask::Part;
 use crate::gateway::directory;
 use crate::gateway::occupancy::Snapshot;
 use crate::gateway::prefill;
 use crate::gateway::prefill::Estimator;
+use crate::gateway::submission::Part;
 use crate::incarnation::Digest;
 use crate::rendezvous;
 use crate::time::Span;
--- a/core/src/gateway/mod.rs
+++ b/core/src/gateway/mod.rs
@@ -4,7 +4,6 @@
 //! resolves a call to a route, chooses a replica, decides about retries, and says which gateways
 //! callers should use. Like the rest of the core it has no clock and no socket.
 
-pub mod ask;
 pub mod autoscaler;
 pub mod budget;
 pub mod config;
@@ -30,6 +29,7 @@
 pub mod refusal;
 mod rollback;
 mod state;
+pub mod submission;
 pub mod tally;
 pub mod usage;
 pub mod view;
--- a/core/src/gateway/model.rs
+++ b/core/src/gateway/model.rs
@@ -51,7 +51,8 @@
         }
         let streams = self.streams.entry(route.pause).or_default();
         let events = streams.events / streams.begun;
-        streams.late = self.gaps.are_late(route.pause, events, engine.stride, streams.late);
+        streams.late =
+            self.gaps.are_late(route.pause, events, engine.tokens_per_event, streams.late);
         streams.late
     }
 
--- a/core/src/gateway/plan.rs
+++ b/core/src/gateway/plan.rs
@@ -274,7 +274,8 @@
         for (pause_ms, kind) in &mut self.kinds {
             let pause = Span::millis(u64::from(*pause_ms));
             let was = kind.late || known.is_some_and(|known| known.isolates(pause));
-            kind.late = self.gaps.are_late(pause, kind.events / kind.begun, engine.stride, was);
+            kind.late =
+                self.gaps.are_late(pause, kind.events / kind.begun, engine.tokens_per_event, was);
             if kind.late {
                 isolated.push(*pause_ms);
             }
--- a/core/src/gateway/state.rs
+++ b/core/src/gateway/state.rs
@@ -15,7 +15,6 @@
 use rand::rngs::SmallRng;
 
 use self::stop::Stop;
-use super::ask::Ask;
 use super::budget;
 use super::budget::Budget;
 use super::config::Config;
@@ -46,6 +45,7 @@
 use super::refusal::Reason;
 use super::refusal::Refusal;
 use super::rollback::Rollback;
+use super::submission::Submission;
 use super::tally::Tally;
 use crate::arena::Key;
 use crate::rendezvous;
@@ -105,7 +105,7 @@
     /// Attempts that may have run.
     pub attempts: u32,
     /// The replica that was chosen last, and what decided it; also if that led to a refusal.
-    pub weighed: Option<Pick>,
+    pub last_pick: Option<Pick>,
     version: u64,
 }
 
@@ -313,8 +313,8 @@
     /// # Errors
     ///
     /// The refusal to answer with.
-    pub fn admit(&mut self, now: Time, ask: &Ask) -> Result<Grant, Refusal> {
-        let grant = self.resolve(now, now, ask)?;
+    pub fn admit(&mut self, now: Time, submission: &Submission) -> Result<Grant, Refusal> {
+        let grant = self.resolve(now, now, submission)?;
         self.may_begin(now, &grant)?;
         let rules = self.settings.budget;
         let began = self.began;
@@ -323,11 +323,11 @@
         Ok(grant)
     }
 
-    fn resolve(&self, now: Time, arrived: Time, ask: &Ask) -> Result<Grant, Refusal> {
+    fn resolve(&self, now: Time, arrived: Time, submission: &Submission) -> Result<Grant, Refusal> {
         let Some(config) = &self.config else {
             return Err(Refusal::not_run(Reason::NoConfiguration, ELSEWHERE));
         };
-        let Some(route) = config.route(&ask.host, &ask.path) else {
+        let Some(route) = config.route(&submission.host, &submission.path) else {
             // The route may be newer than a stale configuration, and callers do not retry a 404.
             let refusal = if self.is_current(now) {
                 Refusal::not_run(Reason::NoRoute, Span(0))
@@ -342,22 +342,22 @@
             if !self.is_current(now) {
                 return Err(Refusal::not_run(Reason::StaleConfiguration, ELSEWHERE));
             }
-            let found = ask.key.as_ref().and_then(|key| config.organisation(key));
+            let found = submission.key.as_ref().and_then(|key| config.organisation(key));
             let found = found.ok_or(Refusal::not_run(Reason::UnknownKey, Span(0)))?;
             rank.organisation = found.priority.unwrap_or(0);
             organisation = Some(found.name.clone());
         }
-        let patience = ask.patience.unwrap_or(route.timeout).min(route.timeout);
+        let patience = submission.patience.unwrap_or(route.timeout).min(route.timeout);
         Ok(Grant {
             organisation,
             rank,
-            service: target(route, &ask.id),
+            service: target(route, &submission.id),
             fingerprint: None,
             arrived,
             deadline: arrived + patience,
             tried: Vec::new(),
             attempts: 0,
-            weighed: None,
+            last_pick: None,
             version: config.version,
             route: Arc::clone(route),
         })
@@ -379,14 +379,14 @@
     pub fn pick(
         &mut self,
         now: Time,
-        ask: &Ask,
+        submission: &Submission,
         grant: &mut Grant,
         snapshots: &[Snapshot],
     ) -> Result<Pick, Refusal> {
-        self.confirm(now, ask, grant)?;
+        self.recheck(now, submission, grant)?;
         let engine = self.engine(grant);
-        let engine = engine.map(|e| self.engine_use(now, ask, grant, &e));
-        let need = need(ask, grant, engine, snapshots);
+        let engine = engine.map(|e| self.engine_use(now, submission, grant, &e));
+        let need = need(submission, grant, engine, snapshots);
         let domain = &self.settings.entry.domain;
         let claim = self.fleet.choose(now, &need, domain, &grant.tried);
         let claim = claim.ok_or(Refusal::not_run(Reason::NoReplica, BUSY))?;
@@ -398,7 +398,7 @@
             address: replica.listing.address.clone(),
             engine: engine.is_some(),
         };
-        grant.weighed = Some(pick.clone());
+        grant.last_pick = Some(pick.clone());
         // A snapshot already counts what the other gateways have sent.
         let dither = match claim.from_snapshot {
             true => 1.0,
@@ -413,7 +413,13 @@
         Ok(pick)
     }
 
-    fn engine_use(&mut self, now: Time, ask: &Ask, grant: &Grant, engine: &Engine) -> Criteria {
+    fn engine_use(
+        &mut self,
+        now: Time,
+        submission: &Submission,
+        grant: &Grant,
+        engine: &Engine,
+    ) -> Criteria {
         let engines = self.fleet.usable(now, &grant.service);
         let (sensitive, lane) = self.lane_of(now, grant, engine, engines);
         let epoch = self.plan(&grant.service).map_or(0, |plan| plan.epoch);
@@ -426,7 +432,7 @@
             pool_size: lane,
             epoch,
             lowest_rank: last,
-            common_tokens: self.popularity.common_tokens(now, &ask.parts, engines, gateways),
+            common_tokens: self.popularity.common_tokens(now, &submission.parts, engines, gateways),
             pause: grant.route.pause,
             objective_ms: grant.route.objective.as_secs_f64() * 1e3,
             prefill: model.prefill,
@@ -443,7 +449,12 @@
     /// # Errors
     ///
     /// The refusal to answer with; it does not know of earlier attempts.
-    pub fn confirm(&self, now: Time, ask: &Ask, grant: &mut Grant) -> Result<(), Refusal> {
+    pub fn recheck(
+        &self,
+        now: Time,
+        submission: &Submission,
+        grant: &mut Grant,
+    ) -> Result<(), Refusal> {
         if !grant.route.public && !self.is_current(now) {
             return Err(Refusal::not_run(Reason::StaleConfiguration, ELSEWHERE));
         }
@@ -451,7 +462,7 @@
         if grant.version == self.version() {
             return Ok(());
         }
-        let mut renewed = self.resolve(now, grant.arrived, ask)?;
+        let mut renewed = self.resolve(now, grant.arrived, submission)?;
         renewed.fingerprint = grant.fingerprint;
         renewed.tried = std::mem::take(&mut grant.tried);
         renewed.attempts = grant.attempts;
@@ -465,9 +476,9 @@
     }
 
     /// Whether a call that a replica has may still be sent to another one, and one is there.
-    pub fn may_move(&self, now: Time, ask: &Ask, grant: &Grant) -> bool {
+    pub fn may_reroute(&self, now: Time, submission: &Submission, grant: &Grant) -> bool {
         let mut renewed = grant.clone();
-        let allowed = self.confirm(now, ask, &mut renewed).is_ok();
+        let allowed = self.recheck(now, submission, &mut renewed).is_ok();
         allowed && self.fleet.has_other(now, &renewed.service, &grant.tried)
     }
 
@@ -502,12 +513,12 @@
 }
 
 fn need<'a>(
-    ask: &'a Ask,
+    submission: &'a Submission,
     grant: &'a Grant,
     engine: Option<Criteria>,
     snapshots: &'a [Snapshot],
 ) -> Requirements<'a> {
-    Requirements { service: &grant.service, parts: &ask.parts, engine, snapshots }
+    Requirements { service: &grant.service, parts: &submission.parts, engine, snapshots }
 }
 
 /// Longest expected wait for a first event with which a call is sent on, in milliseconds: beyond
--- a/core/src/gateway/state/attempts.rs
+++ b/core/src/gateway/state/attempts.rs
@@ -5,24 +5,30 @@
 use super::Pick;
 use super::model;
 use crate::arena::Key;
-use crate::gateway::ask::Ask;
 use crate::gateway::fleet::Claim;
 use crate::gateway::fleet::Load;
 use crate::gateway::fleet::Outcome;
 use crate::gateway::fleet::Replica;
+use crate::gateway::submission::Submission;
 use crate::gateway::tally::Tally;
 use crate::time::Time;
 
 impl Gateway {
     /// Notes that an attempt is sent to the replica of `pick`.
-    pub fn record_sent(&mut self, now: Time, ask: &Ask, grant: &mut Grant, pick: &mut Pick) {
+    pub fn record_sent(
+        &mut self,
+        now: Time,
+        submission: &Submission,
+        grant: &mut Grant,
+        pick: &mut Pick,
+    ) {
         grant.attempts += 1;
         grant.tried.push(pick.claim.replica);
-        self.fleet.record_sent(now, &mut pick.claim, pick.engine, &ask.parts);
+        self.fleet.record_sent(now, &mut pick.claim, pick.engine, &submission.parts);
         if let Some(tally) = self.tally(&pick.claim) {
             tally.record_start(pick.claim.pause);
         }
-        self.popularity.record(now, &ask.parts);
+        self.popularity.record(now, &submission.parts);
     }
 
     /// Notes that something came from a replica.
--- a/core/src/gateway/state/owner.rs
+++ b/core/src/gateway/state/owner.rs
@@ -5,10 +5,10 @@
 use super::Gateway;
 use super::Grant;
 use super::need;
-use crate::gateway::ask::Ask;
 use crate::gateway::directory;
 use crate::gateway::occupancy::Snapshot;
 use crate::gateway::occupancy::Update;
+use crate::gateway::submission::Submission;
 use crate::incarnation::Digest;
 use crate::time::Span;
 use crate::time::Time;
@@ -21,18 +21,18 @@
     pub fn queries(
         &mut self,
         now: Time,
-        ask: &Ask,
+        submission: &Submission,
         grant: &Grant,
     ) -> BTreeMap<Option<String>, Vec<Digest>> {
         let mut queries: BTreeMap<Option<String>, Vec<Digest>> = BTreeMap::new();
         let Some(engine) = self.engine(grant) else {
             return queries;
         };
-        let u = self.engine_use(now, ask, grant, &engine);
-        if ask.parts.is_empty() {
+        let u = self.engine_use(now, submission, grant, &engine);
+        if submission.parts.is_empty() {
             return queries;
         }
-        let need = need(ask, grant, Some(u), &[]);
+        let need = need(submission, grant, Some(u), &[]);
         let domain = &self.settings.entry.domain;
         for engine in self.fleet.candidates_to_query(now, &need, domain, &grant.tried) {
             let owner = self.directory.owner(now, &self.settings.entry.name, engine);
--- a/core/src/gateway/state/plans.rs
+++ b/core/src/gateway/state/plans.rs
@@ -31,7 +31,7 @@
 
     /// The report to send, with the address of the decider; `None` if there is nothing to send, or
     /// this gateway is the decider. Decides then.
-    pub fn report(&mut self, now: Time) -> Option<(String, Report)> {
+    pub fn next_report(&mut self, now: Time) -> Option<(String, Report)> {
         let own = self.is_open(now).then_some(&self.settings.entry);
         let decider = self.directory.decider(now, own);
         let decides = decider.is_none() && own.is_some();
--- a/core/src/gateway/state/poison.rs
+++ b/core/src/gateway/state/poison.rs
@@ -41,7 +41,7 @@
     }
 
     /// Reevaluates the quarantine; returns the verdicts that changed since the last call.
-    pub fn reconsider(&mut self, now: Time) -> Vec<Transition> {
+    pub fn reevaluate_quarantine(&mut self, now: Time) -> Vec<Transition> {
         let fleet = &self.fleet;
         self.quarantine.reevaluate(now, |replica, at| fleet.active_since(replica, at))
     }
@@ -52,7 +52,7 @@
     }
 
     /// Merges the records that the store holds.
-    pub fn recall(&mut self, now: Time, records: &[Record]) {
+    pub fn restore_quarantine(&mut self, now: Time, records: &[Record]) {
         self.quarantine.merge(now, records);
     }
 
@@ -60,7 +60,7 @@
     ///
     /// A stored record stays until it is obsolete, whatever this gateway makes of it; gateways that saw
     /// different things would otherwise overwrite each other in turn.
-    pub fn to_keep(&self, now: Time, stored: &[Record]) -> Option<Vec<Record>> {
+    pub fn quarantine_to_store(&self, now: Time, stored: &[Record]) -> Option<Vec<Record>> {
         let persistent = stored.iter().filter(|record| !self.quarantine.is_obsolete(now, record));
         let mut all: BTreeMap<Fingerprint, Record> =
             persistent.map(|r| (r.fingerprint, r.clone())).collect();
--- a/core/src/gateway/state/stop.rs
+++ b/core/src/gateway/state/stop.rs
@@ -35,7 +35,7 @@
     }
 
     /// Whether the gateway is leaving and calls that have no answer yet are to get one now.
-    pub fn is_ending(&self, now: Time) -> bool {
+    pub fn is_grace_over(&self, now: Time) -> bool {
         self.stop.is_some_and(|stop| now >= stop.end)
     }
 
--- a/core/src/gateway/ask.rs
+++ b/core/src/gateway/submission.rs
@@ -15,7 +15,7 @@
 
 /// A call before it is routed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Ask {
+pub struct Submission {
     /// The caller's id of this try.
     pub id: Bytes,
     /// Host that the caller named, without a port.
@@ -29,12 +29,12 @@
     /// Parts of the prompt.
     pub parts: Vec<Part>,
     /// Most tokens the answer may have.
-    pub output: u32,
+    pub max_output_tokens: u32,
 }
 
-impl Ask {
+impl Submission {
     /// Tokens of the whole prompt.
-    pub fn prompt(&self) -> u32 {
+    pub fn prompt_tokens(&self) -> u32 {
         self.parts.iter().map(|p| p.tokens).fold(0, u32::saturating_add)
     }
 }
--- a/core/tests/gateway/agreement.rs
+++ b/core/tests/gateway/agreement.rs
@@ -152,7 +152,7 @@
         let period = self.gateways[from].reporting_period().0;
         self.next_report[from] =
             self.now + Span(self.rng.random_range(period * 9..period * 11) / 10);
-        if let Some((decider, report)) = self.gateways[from].report(self.now) {
+        if let Some((decider, report)) = self.gateways[from].next_report(self.now) {
             self.sent_bytes += postcard::to_stdvec(&report).unwrap().len();
             let to = self.by_address[&decider];
             if self.arrives(from, to) {
--- a/core/tests/gateway/freshness.rs
+++ b/core/tests/gateway/freshness.rs
@@ -30,7 +30,7 @@
     let call = ask("report", &[]);
     let mut grant = gateway.admit(START + Span::secs(4), &call).unwrap();
 
-    let refusal = gateway.confirm(START + Span::secs(5), &call, &mut grant).unwrap_err();
+    let refusal = gateway.recheck(START + Span::secs(5), &call, &mut grant).unwrap_err();
 
     assert_eq!(refusal.reason, Reason::StaleConfiguration);
 }
--- a/core/tests/gateway/plan.rs
+++ b/core/tests/gateway/plan.rs
@@ -22,7 +22,7 @@
 
 const SERVICE: u32 = 7;
 const ENGINES: usize = 150;
-const ENGINE: Engine = Engine { slots: 16, kv_tokens: 300_000, stride: 5 };
+const ENGINE: Engine = Engine { slots: 16, kv_tokens: 300_000, tokens_per_event: 5 };
 const CHAT: Span = Span::millis(150);
 const REPORT: Span = Span::millis(600);
 /// Long enough for a decider to know most gateways.
--- a/core/tests/gateway/quarantine.rs
+++ b/core/tests/gateway/quarantine.rs
@@ -4,7 +4,6 @@
 
 use laburnumwheel_core::gateway::Gateway;
 use laburnumwheel_core::gateway::Grant;
-use laburnumwheel_core::gateway::ask::Ask;
 use laburnumwheel_core::gateway::fingerprint::Fingerprint;
 use laburnumwheel_core::gateway::fingerprint::Source;
 use laburnumwheel_core::gateway::fleet::Claim;
@@ -19,6 +18,7 @@
 use laburnumwheel_core::gateway::quarantine::Record;
 use laburnumwheel_core::gateway::quarantine::Transition;
 use laburnumwheel_core::gateway::refusal::Reason;
+use laburnumwheel_core::gateway::submission::Submission;
 use laburnumwheel_core::incarnation::Digest;
 use laburnumwheel_core::time::Span;
 use laburnumwheel_core::time::Time;
@@ -277,7 +277,7 @@
 fn sent(
     gateway: &mut Gateway,
     now: Time,
-    call: &Ask,
+    call: &Submission,
     fingerprint: Fingerprint,
 ) -> Option<(Grant, Claim)> {
     gateway.confirm_view(now);
@@ -289,7 +289,7 @@
 }
 
 /// Sends calls of `fingerprint` until none is sent any more, each of which ends its engine.
-fn ended(gateway: &mut Gateway, call: &Ask, fingerprint: Fingerprint) -> BTreeSet<String> {
+fn ended(gateway: &mut Gateway, call: &Submission, fingerprint: Fingerprint) -> BTreeSet<String> {
     let mut engines = BTreeSet::new();
     for second in 0..10 {
         let Some((grant, claim)) = sent(gateway, at(second), call, fingerprint) else {
@@ -341,7 +341,7 @@
     for claim in &claims {
         gateway.record_activity(later, claim, Some(Load { running: 1, waiting: 0, slots: 16 }));
     }
-    gateway.reconsider(later);
+    gateway.reevaluate_quarantine(later);
 
     assert_eq!(before, 1);
     assert_eq!(gateway.fingerprints_quarantined(later), 0);
@@ -354,12 +354,12 @@
     let mut before = gateway(12);
     let call = ask("draft", &[(1, 500)]);
     ended(&mut before, &call, DEADLY);
-    let kept = before.to_keep(at(20), &[]).unwrap();
+    let kept = before.quarantine_to_store(at(20), &[]).unwrap();
 
     let mut after = gateway(12);
-    after.recall(at(20), &kept);
+    after.restore_quarantine(at(20), &kept);
     let held = sent(&mut after, at(20), &call, DEADLY).is_none();
-    let again = after.to_keep(at(20), &kept);
+    let again = after.quarantine_to_store(at(20), &kept);
     after.confirm_view(at(20));
     let mut grant = after.admit(at(20), &call).unwrap();
     grant.fingerprint = Some(DEADLY);
@@ -367,8 +367,8 @@
 
     assert!(held);
     assert_eq!(again, None);
-    assert_eq!(before.to_keep(at(20), &kept), None);
-    assert_eq!(after.to_keep(at(30), &kept), Some(Vec::new()));
+    assert_eq!(before.quarantine_to_store(at(20), &kept), None);
+    assert_eq!(after.quarantine_to_store(at(30), &kept), Some(Vec::new()));
     assert!(sent(&mut after, at(30), &call, DEADLY).is_some());
 }
 
@@ -379,13 +379,13 @@
     let mut one = gateway(12);
     let call = ask("draft", &[(1, 500)]);
     ended(&mut one, &call, DEADLY);
-    let kept = one.to_keep(at(20), &[]).unwrap();
+    let kept = one.quarantine_to_store(at(20), &[]).unwrap();
 
     let mut other = gateway(12);
     ended(&mut other, &call, HARMLESS);
-    let both = other.to_keep(at(20), &kept).unwrap();
+    let both = other.quarantine_to_store(at(20), &kept).unwrap();
 
     assert_eq!(both.len(), 2);
-    assert_eq!(other.to_keep(at(20), &both), None);
-    assert_eq!(one.to_keep(at(20), &both), None);
+    assert_eq!(other.quarantine_to_store(at(20), &both), None);
+    assert_eq!(one.quarantine_to_store(at(20), &both), None);
 }
--- a/core/tests/gateway/restart.rs
+++ b/core/tests/gateway/restart.rs
@@ -52,7 +52,7 @@
     let mut grant = gateway.admit(now, &call).unwrap();
     let picked = gateway.pick(now, &call, &mut grant, &[]).ok();
     // Refused for load or not, it says what the engine was taken to have.
-    let pick = picked.or(grant.weighed.clone()).unwrap();
+    let pick = picked.or(grant.last_pick.clone()).unwrap();
     (grant, pick)
 }
 
--- a/core/tests/gateway/routes.rs
+++ b/core/tests/gateway/routes.rs
@@ -81,7 +81,7 @@
     moved.targets[0].service = "others".to_owned();
     gateway.record_read(START, Some(Arc::new(config(2).with_route(moved))));
 
-    gateway.confirm(START, &call, &mut grant).unwrap();
+    gateway.recheck(START, &call, &mut grant).unwrap();
 
     assert_eq!(grant.service, "others");
 }
--- a/core/tests/gateway/stop.rs
+++ b/core/tests/gateway/stop.rs
@@ -1,7 +1,7 @@
 //! A planned stop: what a gateway that leaves still takes.
 
-use laburnumwheel_core::gateway::ask::Ask;
 use laburnumwheel_core::gateway::refusal::Reason;
+use laburnumwheel_core::gateway::submission::Submission;
 use laburnumwheel_core::time::Span;
 
 use crate::support::START;
@@ -53,7 +53,7 @@
 fn a_long_call_that_was_admitted_early_does_not_begin_late_in_a_stop() {
     let mut gateway = gateway(2);
     gateway.stop(START, LEARNED, GRACE);
-    let chat = Ask { patience: Some(Span::secs(15)), ..ask("chat", &[(1, 500)]) };
+    let chat = Submission { patience: Some(Span::secs(15)), ..ask("chat", &[(1, 500)]) };
     let grant = gateway.admit(START + Span::millis(2_600), &chat).unwrap();
 
     let soon = gateway.may_begin(START + LEARNED, &grant);
--- a/core/tests/gateway/strays.rs
+++ b/core/tests/gateway/strays.rs
@@ -29,7 +29,7 @@
     let call = ask("chat", &[(1, 300), (2, 400)]);
     let mut grant = gateway.admit(START, &call).unwrap();
     let picked = gateway.pick(START, &call, &mut grant, snapshots).ok();
-    picked.or(grant.weighed).map(|pick| (pick.id, pick.claim.expected_ms))
+    picked.or(grant.last_pick).map(|pick| (pick.id, pick.claim.expected_ms))
 }
 
 /// A number of any bits, and often one that is none.
--- a/core/tests/gateway/support.rs
+++ b/core/tests/gateway/support.rs
@@ -6,8 +6,6 @@
 use bytes::Bytes;
 use laburnumwheel_core::gateway::Gateway;
 use laburnumwheel_core::gateway::Settings;
-use laburnumwheel_core::gateway::ask::Ask;
-use laburnumwheel_core::gateway::ask::Part;
 use laburnumwheel_core::gateway::budget;
 use laburnumwheel_core::gateway::config::Config;
 use laburnumwheel_core::gateway::config::Engine;
@@ -18,6 +16,8 @@
 use laburnumwheel_core::gateway::config::Target;
 use laburnumwheel_core::gateway::directory::Entry;
 use laburnumwheel_core::gateway::fleet::Listing;
+use laburnumwheel_core::gateway::submission::Part;
+use laburnumwheel_core::gateway::submission::Submission;
 use laburnumwheel_core::incarnation::Incarnation;
 use laburnumwheel_core::time::Span;
 use laburnumwheel_core::time::Time;
@@ -70,7 +70,7 @@
 }
 
 pub fn config(version: u64) -> Config {
-    let engine = Engine { slots: 16, kv_tokens: 315_872, stride: 5 };
+    let engine = Engine { slots: 16, kv_tokens: 315_872, tokens_per_event: 5 };
     let service = Service { name: "engines".to_owned(), connections: 500, engine: Some(engine) };
     let organisation = Organisation { name: "museum".to_owned(), priority: Some(1) };
     Config::new(version, Limits::default())
@@ -105,14 +105,14 @@
 }
 
 /// A call of a route whose prompt has these parts.
-pub fn ask(route: &str, parts: &[(u64, u32)]) -> Ask {
-    Ask {
+pub fn ask(route: &str, parts: &[(u64, u32)]) -> Submission {
+    Submission {
         id: Bytes::from_static(b"call-1"),
         host: HOST.to_owned(),
         path: format!("/{route}/x"),
         key: Some(Bytes::from_static(KEY.as_bytes())),
         patience: Some(Span::secs(4)),
         parts: parts.iter().map(|(id, tokens)| Part { id: *id, tokens: *tokens }).collect(),
-        output: 50,
+        max_output_tokens: 50,
     }
 }
--- a/gateway/src/attempt.rs
+++ b/gateway/src/attempt.rs
@@ -19,11 +19,11 @@
 use hyper::http::response;
 use laburnumwheel_core::gateway::Grant;
 use laburnumwheel_core::gateway::Pick;
-use laburnumwheel_core::gateway::ask::Ask;
 use laburnumwheel_core::gateway::fleet::Claim;
 use laburnumwheel_core::gateway::fleet::Outcome;
 use laburnumwheel_core::gateway::occupancy::Snapshot;
 use laburnumwheel_core::gateway::refusal::Refusal;
+use laburnumwheel_core::gateway::submission::Submission;
 use laburnumwheel_core::time::Time;
 
 use crate::channel;
@@ -52,7 +52,7 @@
     /// State of the process.
     pub shared: Shared,
     /// What the caller asks for.
-    pub ask: Ask,
+    pub ask: Submission,
     /// Method of the call.
     pub method: Method,
     /// Path and query of the call.
@@ -275,7 +275,7 @@
     fn confirm(&mut self, pick: &Pick) -> Result<(), Failure> {
         let service = self.grant.service.clone();
         let gateway = self.shared.gateway.borrow();
-        let result = gateway.confirm(clock::now(), &self.ask, &mut self.grant);
+        let result = gateway.recheck(clock::now(), &self.ask, &mut self.grant);
         result.map_err(Failure::Denied)?;
         let open = gateway.is_usable(pick.claim.replica) && self.grant.service == service;
         drop(gateway);
@@ -460,7 +460,7 @@
             }
             // Cut off with the process, the caller would not even hear that its call had arrived.
             // An answer that has begun can only be broken off, so it is read to the last moment.
-            if !self.responding && self.shared.gateway.borrow().is_ending(now) {
+            if !self.responding && self.shared.gateway.borrow().is_grace_over(now) {
                 return Err(Fault::Stopped);
             }
             let left = self.grant.deadline.since(now);
@@ -471,7 +471,7 @@
                     // Where nobody else may go on, giving a silent replica up would end an answer
                     // that may still come: callers see a stream break off in a mere pause.
                     let mut gateway = self.shared.gateway.borrow_mut();
-                    if gateway.may_move(now, &self.ask, &self.grant)
+                    if gateway.may_reroute(now, &self.ask, &self.grant)
                         && gateway.spend_retry(now, &self.grant.service)
                     {
                         return Err(Fault::Silent);
--- a/gateway/src/call.rs
+++ b/gateway/src/call.rs
@@ -104,7 +104,7 @@
             .with("pause_ms", self.longest_pause.get().as_millis())
             .with("version", self.shared.gateway.borrow().version())
             .with("proof_age_ms", proof.map_or(-1, |p| p.as_millis() as i64));
-        self.shared.log(match &grant.weighed {
+        self.shared.log(match &grant.last_pick {
             Some(pick) => with_choice(line, pick),
             None => line,
         });
@@ -268,7 +268,7 @@
         return false;
     };
     let now = clock::now();
-    let over = now >= call.grant.deadline || call.shared.gateway.borrow().is_ending(now);
+    let over = now >= call.grant.deadline || call.shared.gateway.borrow().is_grace_over(now);
     if over || matches!(fault, Fault::TimedOut | Fault::Stopped) {
         return false;
     }
--- a/gateway/src/dialect.rs
+++ b/gateway/src/dialect.rs
@@ -6,8 +6,8 @@
 use hyper::HeaderMap;
 use hyper::http::request;
 use laburnumwheel_core::gateway::Rank;
-use laburnumwheel_core::gateway::ask::Ask;
 use laburnumwheel_core::gateway::fleet::Load;
+use laburnumwheel_core::gateway::submission::Submission;
 
 /// What the gateway adds to a call for one attempt.
 #[derive(Clone, Debug)]
@@ -63,7 +63,7 @@
 #[derive(Clone, Copy)]
 pub struct Dialect {
     /// Reads the head of a call.
-    pub parse_call: fn(&request::Parts) -> Result<Ask, Malformed>,
+    pub parse_call: fn(&request::Parts) -> Result<Submission, Malformed>,
     /// Changes a call's headers for one attempt.
     pub prepare_attempt: fn(&mut HeaderMap, &Attempt<'_>),
     /// Reads the head of an answer.
--- a/gateway/src/dialect/own.rs
+++ b/gateway/src/dialect/own.rs
@@ -6,9 +6,9 @@
 use hyper::header::HeaderName;
 use hyper::header::HeaderValue;
 use hyper::http::request;
-use laburnumwheel_core::gateway::ask::Ask;
-use laburnumwheel_core::gateway::ask::Part;
 use laburnumwheel_core::gateway::fleet::Load;
+use laburnumwheel_core::gateway::submission::Part;
+use laburnumwheel_core::gateway::submission::Submission;
 use laburnumwheel_core::time::Span;
 
 use super::Attempt;
@@ -58,21 +58,21 @@
     })
 }
 
-fn parse_call(parts: &request::Parts) -> Result<Ask, Malformed> {
+fn parse_call(parts: &request::Parts) -> Result<Submission, Malformed> {
     let headers = &parts.headers;
     let id = headers.get(ID).ok_or(Malformed::Missing(ID))?;
     let host = text(headers, "host").ok_or(Malformed::Missing("host"))?;
     let host = host.rsplit_once(':').map_or(host, |(name, _)| name);
     let key = text(headers, "authorization").and_then(|v| v.strip_prefix("Bearer "));
     let prompt = text(headers, PROMPT).unwrap_or_default();
-    Ok(Ask {
+    Ok(Submission {
         id: Bytes::copy_from_slice(id.as_bytes()),
         host: host.to_ascii_lowercase(),
         path: parts.uri.path().to_owned(),
         key: key.map(|k| Bytes::copy_from_slice(k.as_bytes())),
         patience: number(headers, PATIENCE)?.map(Span::millis),
         parts: prompt.split(',').filter_map(part).collect(),
-        output: 0,
+        max_output_tokens: 0,
     })
 }
 
--- a/gateway/src/gateway.rs
+++ b/gateway/src/gateway.rs
@@ -257,7 +257,7 @@
             if past > self.drain_delay {
                 shared.connections_closing.notify_waiters();
             }
-            if shared.gateway.borrow().is_ending(clock::now()) {
+            if shared.gateway.borrow().is_grace_over(clock::now()) {
                 shared.calls_ending.notify_waiters();
             }
             let done = shared.connections.get() == 0 && past > self.drain_delay / 2;
--- a/gateway/src/peers.rs
+++ b/gateway/src/peers.rs
@@ -237,9 +237,9 @@
     loop {
         let period = shared.gateway.borrow().reporting_period();
         tokio::time::sleep(clock::duration(period)).await;
-        let transitions = shared.gateway.borrow_mut().reconsider(clock::now());
+        let transitions = shared.gateway.borrow_mut().reevaluate_quarantine(clock::now());
         quarantine::log_transitions(&shared, &transitions);
-        let report = shared.gateway.borrow_mut().report(clock::now());
+        let report = shared.gateway.borrow_mut().next_report(clock::now());
         if let Some((decider, report)) = report
             && let Ok(address) = decider.parse::<SocketAddr>()
         {
--- a/gateway/src/quarantine.rs
+++ b/gateway/src/quarantine.rs
@@ -82,7 +82,7 @@
 /// Merges the stored records.
 pub fn restore(shared: &Shared, stored: &Entry) {
     let records = aged(&stored.records, unix_ms());
-    shared.gateway.borrow_mut().recall(clock::now(), &records);
+    shared.gateway.borrow_mut().restore_quarantine(clock::now(), &records);
 }
 
 /// Stores the records if the stored ones are out of date. A conflicting write shows in the next read.
@@ -93,7 +93,7 @@
 ) {
     let now_ms = unix_ms();
     let known = aged(&stored.records, now_ms);
-    let Some(records) = shared.gateway.borrow().to_keep(clock::now(), &known) else {
+    let Some(records) = shared.gateway.borrow().quarantine_to_store(clock::now(), &known) else {
         return;
     };
     let result = store::with_timeout(write(dated(&records, now_ms), stored.revision)).await;
