--- a/core/src/gateway/config.rs
+++ b/core/src/gateway/config.rs
@@ -55,6 +55,7 @@
     /// Memory for running requests and cached prompt parts, in tokens.
     pub kv_tokens: u64,
     /// Tokens in one event of a stream.
+    #[serde(rename = "stride")]
     pub tokens_per_event: u32,
 }
 
