--- a/core/src/gateway/config.rs
+++ b/core/src/gateway/config.rs
@@ -206,7 +206,7 @@
     }
 
     /// Whether no route to `service` ranks below `route`.
-    pub fn ranks_last(&self, route: &Route, service: &str) -> bool {
+    pub fn has_lowest_rank(&self, route: &Route, service: &str) -> bool {
         let lowest = self.lowest.get(service).copied().unwrap_or(0);
         route.priority >= lowest
     }
--- a/core/src/gateway/directory.rs
+++ b/core/src/gateway/directory.rs
@@ -64,11 +64,13 @@
     /// Loads of replicas.
     pub loads: Vec<Observation>,
     /// What prompts cost at the engines of services.
-    pub paces: Vec<prefill::Estimate>,
+    #[serde(rename = "paces")]
+    pub prefill: Vec<prefill::Estimate>,
     /// What gateways agree on, by service.
     pub plans: Vec<Plan>,
     /// Recent changes of the quarantine.
-    pub suspects: Vec<quarantine::Record>,
+    #[serde(rename = "suspects")]
+    pub quarantine: Vec<quarantine::Record>,
     /// Version of its configuration.
     pub version: u64,
     /// Age of its proof that this version is the newest, in microseconds.
--- a/core/src/gateway/state.rs
+++ b/core/src/gateway/state.rs
@@ -229,8 +229,8 @@
         self.receive_version(now, heartbeat.version);
         self.directory.receive(now, heartbeat);
         self.fleet.receive(now, &heartbeat.loads);
-        self.quarantine.merge(now, &heartbeat.suspects);
-        self.receive_paces(&heartbeat.paces);
+        self.quarantine.merge(now, &heartbeat.quarantine);
+        self.receive_prefill(&heartbeat.prefill);
         self.receive_plans(now, &heartbeat.plans)
     }
 
@@ -249,9 +249,9 @@
             entry: self.settings.entry.clone(),
             demands,
             loads: self.fleet.gossip(now),
-            paces: self.gossip_paces(),
+            prefill: self.gossip_prefill(),
             plans: self.plans.gossip(now),
-            suspects: self.quarantine.gossip(now),
+            quarantine: self.quarantine.gossip(now),
             version: self.version(),
             proof_age: self.freshness.age(now).map(|s| s.0),
         }
@@ -423,7 +423,8 @@
         let engines = self.fleet.usable(now, &grant.service);
         let (sensitive, lane) = self.lane_of(now, grant, engine, engines);
         let epoch = self.plan(&grant.service).map_or(0, |plan| plan.epoch);
-        let last = self.config.as_ref().is_some_and(|c| c.ranks_last(&grant.route, &grant.service));
+        let last =
+            self.config.as_ref().is_some_and(|c| c.has_lowest_rank(&grant.route, &grant.service));
         let gateways = self.directory.gateway_count();
         let model = self.models.entry(grant.service.clone()).or_default();
         Criteria {
@@ -489,17 +490,17 @@
     }
 
     /// Time until a replica with work of this gateway counts as silent; zero if it is now.
-    pub fn silent_in(&self, now: Time, claim: &Claim) -> Span {
+    pub fn time_until_silent(&self, now: Time, claim: &Claim) -> Span {
         self.fleet.time_until_silent(now, claim.replica)
     }
 
-    fn gossip_paces(&self) -> Vec<prefill::Estimate> {
+    fn gossip_prefill(&self) -> Vec<prefill::Estimate> {
         let told = self.models.iter();
         told.filter_map(|(service, model)| model.prefill.gossip(directory::short_hash(service)))
             .collect()
     }
 
-    fn receive_paces(&mut self, paces: &[prefill::Estimate]) {
+    fn receive_prefill(&mut self, paces: &[prefill::Estimate]) {
         for (service, model) in &mut self.models {
             let short = directory::short_hash(service);
             paces.iter().filter(|p| p.service == short).for_each(|p| model.prefill.receive(p));
--- a/core/src/gateway/state/reads.rs
+++ b/core/src/gateway/state/reads.rs
@@ -47,7 +47,7 @@
 
     /// The list of replicas that was asked for at `sent`, with what is known put before it if the
     /// store may have gone back.
-    pub fn amend(&self, sent: Time, replicas: Vec<Listing>) -> Vec<Listing> {
+    pub fn reconcile(&self, sent: Time, replicas: Vec<Listing>) -> Vec<Listing> {
         match self.rollback.may_hold_stale_entries(sent) {
             true => self.fleet.reconcile(replicas, self.rollback.may_miss_entries(sent)),
             false => replicas,
--- a/core/tests/gateway/restart.rs
+++ b/core/tests/gateway/restart.rs
@@ -69,8 +69,8 @@
         entry: entry("two"),
         demands: Vec::new(),
         loads,
-        paces: Vec::new(),
-        suspects: Vec::new(),
+        prefill: Vec::new(),
+        quarantine: Vec::new(),
         plans: Vec::new(),
         version: 1,
         proof_age: None,
@@ -110,7 +110,7 @@
     assert_ne!(now.replica, known.replica);
     assert_eq!(gateway.fleet().iter().map(|r| r.own_calls()).collect::<Vec<_>>(), [0]);
     assert_eq!(gateway.fleet().sensitive_streams(), 0);
-    assert_eq!(gateway.silent_in(START, &running.claim), Span(0));
+    assert_eq!(gateway.time_until_silent(START, &running.claim), Span(0));
 }
 
 /// An engine fails and can't be reached until it restarts. Marked as resting, failing and leaving
--- a/core/tests/gateway/returns.rs
+++ b/core/tests/gateway/returns.rs
@@ -28,7 +28,7 @@
 
 /// Takes a list in as a read of the store does.
 fn read(gateway: &mut Gateway, now: Time, listings: Vec<Listing>) {
-    let amended = gateway.amend(now, listings);
+    let amended = gateway.reconcile(now, listings);
     gateway.update_lists(now, now, amended, Vec::new());
 }
 
--- a/gateway/src/attempt.rs
+++ b/gateway/src/attempt.rs
@@ -466,7 +466,8 @@
             let left = self.grant.deadline.since(now);
             let mut wait = left;
             if movable {
-                let silent_in = self.shared.gateway.borrow().silent_in(now, &in_flight.claim);
+                let silent_in =
+                    self.shared.gateway.borrow().time_until_silent(now, &in_flight.claim);
                 if silent_in.0 == 0 {
                     // Where nobody else may go on, giving a silent replica up would end an answer
                     // that may still come: callers see a stream break off in a mere pause.
--- a/gateway/src/store.rs
+++ b/gateway/src/store.rs
@@ -330,7 +330,7 @@
     }
     // First of all, so that a gateway which has just started knows them when it serves.
     quarantine::restore(shared, &reading.fingerprints);
-    reading.view.replicas = shared.gateway.borrow().amend(sent, reading.view.replicas);
+    reading.view.replicas = shared.gateway.borrow().reconcile(sent, reading.view.replicas);
     // A version that can't be read may be the one that takes a key away. The last one that could
     // be read stays in force, and its proof of freshness ages as if the store were out of reach:
     // no key is honoured for longer than the bound on revocation.
--- a/gateway/tests/decoders.rs
+++ b/gateway/tests/decoders.rs
@@ -44,8 +44,8 @@
         entry: entry(),
         demands: vec![demand; 3],
         loads: vec![load; 3],
-        paces: Vec::new(),
-        suspects: Vec::new(),
+        prefill: Vec::new(),
+        quarantine: Vec::new(),
         plans: vec![Plan {
             service: 1,
             epoch: 2,
