--- a/core/src/gateway/leader.rs
+++ b/core/src/gateway/leader.rs
@@ -1,10 +1,11 @@
-//! Election of one leader among the gateways, through a lease of the store.
+//! Elects one leader among the gateways with a lease of the store.
 //!
-//! A term begins with a conditional write of the leader's record under a lease, and its fencing token
-//! is the position of that write (era, then revision). The term is valid until the lease may lapse,
-//! counted on the own monotonic clock from before the request that granted or renewed it was sent. No
-//! call of a duty outlives the term, and a successor waits until none of its predecessor's calls can
-//! still arrive; so calls of two leaders never interleave, and tokens only rise.
+//! A term begins with a conditional write of the leader's record under a lease. Its fencing token
+//! is the position of that write: the era, then the revision. The term is valid until the lease may
+//! have expired, measured on the local monotonic clock from before the grant or renewal was
+//! requested. No call of a duty outlives the term, and a new leader waits until no call of the
+//! previous leader can still arrive. Calls of two leaders therefore never interleave, and tokens
+//! only increase.
 
 use std::collections::BTreeMap;
 
@@ -16,27 +17,29 @@
 use crate::time::Span;
 use crate::time::Time;
 
-/// Bits of a token that hold the revision; era and revision fit into the integers that JSON carries.
+/// Bits of a token that hold the revision.
 const REVISION_BITS: u32 = 40;
+/// Bits of a token; JSON numbers represent integers of up to 53 bits exactly.
 const TOKEN_BITS: u32 = 53;
-/// Longest time between two looks of a gateway that can't campaign yet.
-const IDLE: Span = Span::secs(5);
-/// Age of the newest read beyond which the absence of a leader is no longer known.
-const OBSERVATION_VALID: Span = Span::millis(1_500);
-/// Head start of each gateway before the next in rank, so that one campaigns at a time.
-const HEAD_START: Span = Span::millis(600);
-/// Highest rank that still delays a campaign.
-const MAX_RANK: u64 = 6;
-/// Time without a successful call of a duty, and failed calls, after which the leader hands over.
-const HAND_OVER_AFTER: Span = Span::millis(2_500);
-const HAND_OVER_FAILURES: u32 = 3;
+/// Longest wait of a gateway that can't campaign yet before it checks again.
+const MAX_IDLE: Span = Span::secs(5);
+/// Age of the newest read beyond which it no longer shows that there is no leader.
+const MAX_READ_AGE: Span = Span::millis(1_500);
+/// Delay of a campaign for each rank, so that one gateway campaigns at a time.
+const RANK_DELAY: Span = Span::millis(600);
+/// Rank beyond which a campaign is not delayed further.
+const MAX_DELAYED_RANK: u64 = 6;
+/// Shortest time from the first of several failed calls in a row until the leader resigns.
+const RESIGN_AFTER: Span = Span::millis(2_500);
+/// Fewest failed calls in a row with which the leader resigns.
+const RESIGN_FAILURES: u32 = 3;
 
 /// Fencing token of a term.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Token(u64);
 
 impl Token {
-    /// The token of a term that began at `position`; `None` if it has no room for it.
+    /// The token of a term that began at `position`; `None` if the position is out of range.
     pub fn new(position: Position) -> Option<Token> {
         let fits = position.revision < 1 << REVISION_BITS
             && position.era < 1 << (TOKEN_BITS - REVISION_BITS);
@@ -53,63 +56,63 @@
         self.0 >> REVISION_BITS
     }
 
-    /// Revision of the leader's record.
+    /// Revision of the leader's record at the start of the term.
     pub fn revision(self) -> u64 {
         self.0 & ((1 << REVISION_BITS) - 1)
     }
 }
 
-/// Times of an election, the same at all gateways.
+/// Durations that govern an election, the same at all gateways.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Timing {
-    /// Life of the lease without renewal.
+    /// Time to live of the lease without renewal.
     pub lease_duration: Span,
-    /// Time limit of one call of a duty.
+    /// Timeout of one call of a duty.
     pub call_timeout: Span,
-    /// Time for which bytes of an abandoned call may still be on their way.
+    /// Longest time for which bytes of an abandoned call may still be in transit.
     pub max_transit: Span,
     /// Time before a former leader, or a gateway that has just started, may campaign.
     pub cooldown: Span,
 }
 
-/// A term that has just been won.
+/// A granted lease that holds the leader's record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Lease {
-    /// When the request for the lease was sent.
+    /// Time at which the request for the lease was sent.
     pub sent: Time,
-    /// Lease of the leader's record.
+    /// Number of the lease in the store.
     pub id: u64,
-    /// Life of the lease, as the store granted it.
+    /// Time to live, as granted by the store.
     pub ttl: Span,
     /// Position of the write of the leader's record.
     pub position: Position,
-    /// Era of the last known term before; `None` if there is no record of it.
+    /// Era of the previous term; `None` if there is no record of it.
     pub last_era: Option<u64>,
 }
 
-/// What to do next.
+/// Next step of a gateway in the election.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Nothing for this long at most.
+    /// Wait for at most this long.
     Wait(Span),
-    /// Ask for a lease and write the leader's record under it, if there is none.
+    /// Request a lease and write the leader's record under it, if there is none.
     Campaign,
-    /// Renew this lease.
+    /// Renew the lease of this number.
     Renew(u64),
-    /// End this lease.
+    /// Revoke the lease of this number.
     Release(u64),
 }
 
-/// Leave to make one call of a duty.
+/// Permission for one call of a duty.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Permit {
     /// Fencing token of the call.
     pub token: Token,
-    /// No byte of the call may leave after this.
+    /// Time after which no byte of the call may be sent.
     pub deadline: Time,
 }
 
-/// Who leads, as gateways tell one another.
+/// Identity of a leader, as gossiped between gateways.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Identity {
     /// Token of the term.
@@ -118,33 +121,33 @@
     pub gateway: u32,
 }
 
-/// How a call of a duty ended.
+/// Outcome of a call of a duty.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display)]
 #[display(rename_all = "snake_case")]
 pub enum Outcome {
-    /// The platform took it.
+    /// The platform accepted the call.
     Accepted,
-    /// The platform answered that it can't be done now.
+    /// The platform answered that the call can't be carried out now.
     Refused,
-    /// The platform knows of a later term.
+    /// The platform has seen the token of a later term.
     Fenced,
-    /// No answer came.
+    /// No answer arrived.
     Unanswered,
 }
 
-/// Why a term ended.
+/// Cause of the end of a term.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 #[display(rename_all = "snake_case")]
 pub enum Cause {
-    /// The lease has ended.
+    /// The lease has expired or was revoked.
     LeaseEnded,
-    /// The store came back from an older copy.
+    /// The store was restored from an older copy.
     Rollback,
-    /// The process stops.
+    /// The process is stopping.
     Stopped,
-    /// This gateway does not reach the platform's duties.
+    /// Calls of duties from this gateway get no answer.
     Unreachable,
-    /// The platform knows of a later term.
+    /// The platform has seen the token of a later term.
     Fenced,
 }
 
@@ -154,9 +157,9 @@
     lease: u64,
     began: Time,
     valid_until: Time,
-    acts_from: Time,
+    active_from: Time,
     renew_at: Time,
-    calls: u32,
+    calls_in_progress: u32,
     failures: u32,
     failing_since: Option<Time>,
     ending: Option<Cause>,
@@ -169,45 +172,47 @@
     Leader(Term),
 }
 
-/// One gateway's part in the election.
+/// State of one gateway in the election.
 #[derive(Debug)]
 pub struct Election {
     timing: Timing,
     role: Role,
-    not_before: Time,
-    /// Newest sound read of the store, and since when reads have shown no leader.
+    campaign_after: Time,
+    /// Start of the newest successful read of the store.
     observed: Option<Time>,
-    absent_since: Option<Time>,
+    /// Start of the first of the latest reads that all showed no leader.
+    vacant_since: Option<Time>,
     stopping: bool,
+    /// Ended terms not yet taken, by token.
     ended: BTreeMap<u64, Cause>,
 }
 
 impl Election {
-    /// A gateway that has just started; it may have led a moment before, unless the whole system starts
-    /// for the first time.
+    /// The election as seen by a gateway that has just started. Unless the whole system starts for
+    /// the first time, the gateway waits for the cooldown, as it may have led before the restart.
     pub fn new(timing: Timing, now: Time, is_first_start: bool) -> Election {
-        let stand_back = if is_first_start { Span(0) } else { timing.cooldown };
+        let cooldown = if is_first_start { Span(0) } else { timing.cooldown };
         Election {
             timing,
             role: Role::Follower,
-            not_before: now + stand_back,
+            campaign_after: now + cooldown,
             observed: None,
-            absent_since: None,
+            vacant_since: None,
             stopping: false,
             ended: BTreeMap::new(),
         }
     }
 
-    /// Times of the election.
+    /// Durations of the election.
     pub fn timing(&self) -> Timing {
         self.timing
     }
 
-    /// Takes in the revision of the leader's record, if there is one, that a read of the store found at
-    /// `now`; it began at `sent`.
+    /// Records the result of a read of the store that was sent at `sent` and answered at `now`: the
+    /// revision of the leader's record, or `None` if there is no record.
     ///
-    /// A leader whose record is gone has lost its lease, whatever renewals say: the number of a lease may
-    /// be another gateway's after a return of the store.
+    /// A leader whose record is gone has lost its lease, even if renewals succeed: after the store
+    /// is restored from an older copy, it may grant the number of the lease to another gateway.
     pub fn observe(&mut self, now: Time, sent: Time, record: Option<u64>) {
         if self.observed.is_some_and(|at| sent < at) {
             return;
@@ -219,68 +224,71 @@
             return;
         }
         self.observed = Some(sent);
-        self.absent_since = match record {
+        self.vacant_since = match record {
             Some(_) => None,
-            None => self.absent_since.or(Some(sent)),
+            None => self.vacant_since.or(Some(sent)),
         };
     }
 
-    /// What to do at `now`, while answers state `era`; `rank` orders the gateways that may campaign.
+    /// The next step at `now`, where `era` is the newest era known of the store and `rank` is the
+    /// position of this gateway among those that may campaign.
     pub fn step(&mut self, now: Time, era: u64, rank: usize) -> Step {
         self.check_era(now, era);
         match self.role {
             Role::Leader(term) => self.leader_step(now, &term),
-            Role::Follower if !self.stopping => match self.campaign_at(now, rank) {
+            Role::Follower if !self.stopping => match self.campaign_time(now, rank) {
                 Some(at) if at <= now => Step::Campaign,
-                Some(at) => Step::Wait(at.since(now).min(IDLE)),
-                None => Step::Wait(IDLE),
+                Some(at) => Step::Wait(at.since(now).min(MAX_IDLE)),
+                None => Step::Wait(MAX_IDLE),
             },
-            Role::Candidate | Role::Follower => Step::Wait(IDLE),
+            Role::Candidate | Role::Follower => Step::Wait(MAX_IDLE),
         }
     }
 
     fn leader_step(&mut self, now: Time, term: &Term) -> Step {
-        if term.ending.is_some() && term.calls == 0 {
-            // Released while a predecessor's calls may still arrive, the lease would let a successor
-            // act that knows nothing of them.
-            if now >= term.acts_from {
+        if term.ending.is_some() && term.calls_in_progress == 0 {
+            // While calls of the previous leader may still arrive, the lease is kept: the next
+            // leader would not wait for calls from before this term.
+            if now >= term.active_from {
                 return Step::Release(term.lease);
             }
             if now >= term.valid_until {
                 self.end_term(now, Cause::LeaseEnded);
             }
-            return Step::Wait(HEAD_START);
+            return Step::Wait(RANK_DELAY);
         }
         if now >= term.renew_at && term.ending.is_none() {
             return Step::Renew(term.lease);
         }
-        Step::Wait(term.renew_at.since(now).min(HEAD_START))
+        Step::Wait(term.renew_at.since(now).min(RANK_DELAY))
     }
 
-    fn campaign_at(&self, now: Time, rank: usize) -> Option<Time> {
-        let observed = self.observed.filter(|at| now.since(*at) < OBSERVATION_VALID)?;
-        let absent = self.absent_since.filter(|at| *at <= observed)?;
-        let head_start = Span(HEAD_START.0 * (rank as u64).min(MAX_RANK));
-        Some(absent.max(self.not_before) + head_start)
+    /// Time of the next campaign; `None` if the newest read does not show that there is no leader.
+    fn campaign_time(&self, now: Time, rank: usize) -> Option<Time> {
+        let observed = self.observed.filter(|at| now.since(*at) < MAX_READ_AGE)?;
+        let vacant_since = self.vacant_since.filter(|at| *at <= observed)?;
+        let rank_delay = Span(RANK_DELAY.0 * (rank as u64).min(MAX_DELAYED_RANK));
+        Some(vacant_since.max(self.campaign_after) + rank_delay)
     }
 
-    /// Records that a campaign has begun.
+    /// Records the start of a campaign.
     pub fn start_campaign(&mut self) {
         self.role = Role::Candidate;
-        // The next one needs a read that began after this one.
-        self.absent_since = None;
+        // A further campaign needs a read of the store that is sent after this one.
+        self.vacant_since = None;
         self.observed = None;
     }
 
-    /// Records that a campaign was lost, or has no known outcome.
+    /// Records that a campaign was lost or that its outcome is unknown.
     pub fn fail_campaign(&mut self) {
         self.role = Role::Follower;
     }
 
-    /// Begins a term; `false` if it can't be led.
+    /// Begins a term under `lease`; `false` if its position is out of range of tokens.
     ///
-    /// Where the last term began in another era, or nobody knows, its leader may not have learned yet
-    /// that the store forgot it, and goes on until its lease would have lapsed.
+    /// If the previous term began in another era or in an unknown one, its leader may not know yet
+    /// that the store has lost its record, and may continue until its lease would have expired. The
+    /// new leader waits that long before its first call.
     pub fn begin_term(&mut self, now: Time, lease: &Lease) -> bool {
         let ttl = lease.ttl.min(self.timing.lease_duration);
         let valid_until = lease.sent + ttl;
@@ -295,9 +303,9 @@
             lease: lease.id,
             began: now,
             valid_until,
-            acts_from: now + wait + self.timing.max_transit,
-            renew_at: lease.sent + self.renewal(),
-            calls: 0,
+            active_from: now + wait + self.timing.max_transit,
+            renew_at: lease.sent + self.renewal_interval(),
+            calls_in_progress: 0,
             failures: 0,
             failing_since: None,
             ending: self.stopping.then_some(Cause::Stopped),
@@ -305,60 +313,61 @@
         true
     }
 
-    /// Time from one renewal to the next; two of them fit into a lease.
-    fn renewal(&self) -> Span {
+    /// Time from one renewal to the next; a lease outlasts two of them.
+    fn renewal_interval(&self) -> Span {
         Span(self.timing.lease_duration.0 * 2 / 5)
     }
 
-    /// Extends the term by a renewal that was sent at `sent`, and answered in `era`.
+    /// Extends the term by a renewal that was sent at `sent` and answered by the store in `era`.
     pub fn extend_term(&mut self, now: Time, sent: Time, era: u64) {
         self.check_era(now, era);
-        let (lease, renewal) = (self.timing.lease_duration, self.renewal());
+        let (lease, interval) = (self.timing.lease_duration, self.renewal_interval());
         if let Role::Leader(term) = &mut self.role {
             term.valid_until = term.valid_until.max(sent + lease);
-            term.renew_at = sent + renewal;
+            term.renew_at = sent + interval;
         }
     }
 
-    /// Records that a renewal got no answer; the next one comes soon.
+    /// Records that a renewal got no answer, and schedules an early retry.
     pub fn record_renewal_failure(&mut self, now: Time) {
-        let soon = Span(self.renewal().0 / 4);
+        let soon = Span(self.renewal_interval().0 / 4);
         if let Role::Leader(term) = &mut self.role {
             term.renew_at = now + soon;
         }
     }
 
     /// Ends the term at once.
-    pub fn end_term(&mut self, now: Time, end: Cause) {
+    pub fn end_term(&mut self, now: Time, cause: Cause) {
         if let Role::Leader(term) = self.role {
-            self.ended.insert(term.token.get(), end);
+            self.ended.insert(term.token.get(), cause);
             self.role = Role::Follower;
-            self.not_before = self.not_before.max(now + self.timing.cooldown);
-            self.absent_since = None;
+            self.campaign_after = self.campaign_after.max(now + self.timing.cooldown);
+            self.vacant_since = None;
             self.observed = None;
         }
     }
 
-    /// Ends the term once the call in progress has ended.
-    pub fn resign(&mut self, end: Cause) {
+    /// Ends the term once the calls in progress have ended.
+    pub fn resign(&mut self, cause: Cause) {
         if let Role::Leader(term) = &mut self.role {
-            term.ending = term.ending.or(Some(end));
+            term.ending = term.ending.or(Some(cause));
         }
     }
 
-    /// Ends the term, if there is one, and campaigns no more.
+    /// Resigns if this gateway leads, and prevents further campaigns.
     pub fn stop(&mut self) {
         self.stopping = true;
         self.resign(Cause::Stopped);
     }
 
-    /// Records that the lease of the term was ended, or could not be.
+    /// Ends the term after an attempt to revoke its lease, successful or not.
     pub fn record_release(&mut self, now: Time) {
         if let Role::Leader(term) = self.role {
             self.end_term(now, term.ending.unwrap_or(Cause::LeaseEnded));
         }
     }
 
+    /// Ends a term that began in an earlier era than `era`.
     fn check_era(&mut self, now: Time, era: u64) {
         if let Role::Leader(term) = self.role
             && era > term.token.era()
@@ -367,7 +376,8 @@
         }
     }
 
-    /// Leave for one call of a duty at `now`, if the term outlasts it.
+    /// Permission for one call of a duty at `now`; `None` unless the term is active and outlasts
+    /// the call's timeout.
     pub fn begin_call(&mut self, now: Time, era: u64) -> Option<Permit> {
         self.check_era(now, era);
         let call = self.timing.call_timeout;
@@ -375,14 +385,14 @@
             return None;
         };
         let deadline = now + call;
-        if term.ending.is_some() || now < term.acts_from || deadline > term.valid_until {
+        if term.ending.is_some() || now < term.active_from || deadline > term.valid_until {
             return None;
         }
-        term.calls += 1;
+        term.calls_in_progress += 1;
         Some(Permit { token: term.token, deadline })
     }
 
-    /// Records the end of a call that had this permit.
+    /// Records the end of a call that was made with this permit.
     pub fn end_call(&mut self, now: Time, permit: &Permit, outcome: Outcome) {
         let Role::Leader(term) = &mut self.role else {
             return;
@@ -390,7 +400,7 @@
         if term.token != permit.token {
             return;
         }
-        term.calls = term.calls.saturating_sub(1);
+        term.calls_in_progress = term.calls_in_progress.saturating_sub(1);
         match outcome {
             Outcome::Accepted | Outcome::Refused => {
                 term.failures = 0;
@@ -400,25 +410,27 @@
             Outcome::Unanswered => {
                 term.failures += 1;
                 let since = *term.failing_since.get_or_insert(now);
-                let long = now.since(since) >= HAND_OVER_AFTER;
-                if term.failures >= HAND_OVER_FAILURES && long {
+                let long = now.since(since) >= RESIGN_AFTER;
+                if term.failures >= RESIGN_FAILURES && long {
                     self.resign(Cause::Unreachable);
                 }
             }
         }
     }
 
-    /// Token of the term, if this gateway leads and may act.
+    /// Token of the term, if this gateway leads and may make calls at `now`.
     pub fn active_token(&self, now: Time) -> Option<Token> {
         match self.role {
-            Role::Leader(t) if now >= t.acts_from && now < t.valid_until && t.ending.is_none() => {
+            Role::Leader(t)
+                if now >= t.active_from && now < t.valid_until && t.ending.is_none() =>
+            {
                 Some(t.token)
             }
             _ => None,
         }
     }
 
-    /// Token of the term, also of one that may not act yet.
+    /// Token of the term, also while it may not make calls yet.
     pub fn token(&self) -> Option<Token> {
         match self.role {
             Role::Leader(term) => Some(term.token),
@@ -426,7 +438,7 @@
         }
     }
 
-    /// Terms that have ended since the last call, and why.
+    /// Takes the terms that have ended since the last call, with the causes, by token.
     pub fn take_ended(&mut self) -> BTreeMap<u64, Cause> {
         std::mem::take(&mut self.ended)
     }
--- a/core/src/gateway/quarantine.rs
+++ b/core/src/gateway/quarantine.rs
@@ -1,10 +1,12 @@
-//! Quarantine of requests that repeatedly crash the replica serving them.
+//! Quarantines requests that repeatedly crash the replica serving them.
 //!
-//! Gateways record which replica was running a request when its connection broke, by the request's
-//! fingerprint, and gossip these records. A fingerprint with [`CRASH_THRESHOLD`] crashes and no answer is
-//! quarantined. Requests that merely ran beside the cause are cleared by an answer elsewhere, by a sign of
-//! life of the replica, or because the cause already explains their crashes. Records only grow, except
-//! where an answer clears them, so gateways agree whatever order they merge them in.
+//! When a connection to a replica breaks, the gateway records a crash for the fingerprint of each
+//! request that was running on it, and gossips the records. A fingerprint with [`CRASH_THRESHOLD`]
+//! crashes and no complete answer is quarantined. Requests that merely ran at the same time as the
+//! cause are cleared by a complete answer from another replica, by a later sign of life of the
+//! replica, or because another quarantined fingerprint explains their crashes. Crashes are only
+//! added to records, except that an answer clears them, so gateways reach the same result in
+//! whatever order they merge records.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -18,26 +20,27 @@
 use crate::time::Span;
 use crate::time::Time;
 
-/// Crashes before a fingerprint is quarantined. Bystanders see one or two in a row, as a stream that is
-/// resumed after the first crash may meet the next one.
+/// Number of crashes that quarantines a fingerprint. One or two are not enough: a harmless stream
+/// that is resumed after a crash may land on the next replica to crash.
 pub const CRASH_THRESHOLD: usize = 3;
-/// Length of the first quarantine; doubles with each further crash.
-const HOLD: Span = Span::secs(600);
-/// Crashes shared with a quarantined fingerprint from which on that one is taken as their cause.
-const SHARED: usize = 2;
+/// Duration of a quarantine after [`CRASH_THRESHOLD`] crashes; doubles with each further crash.
+const MIN_QUARANTINE: Span = Span::secs(600);
+/// Fewest crashes in common with a quarantined fingerprint for which that one is taken as the
+/// cause.
+const MIN_SHARED: usize = 2;
 /// Upper bound on crashes tracked for one fingerprint.
 const MAX_CRASHES: usize = 10;
 /// Retention of fingerprints with too few crashes for a quarantine.
-const MEMORY: Span = Span::secs(600);
+const RETENTION: Span = Span::secs(600);
 /// Retention of fingerprints that were quarantined; longer than the longest quarantine.
-const LONG_MEMORY: Span = Span::secs(2 * 86_400);
+const QUARANTINED_RETENTION: Span = Span::secs(2 * 86_400);
 /// Upper bound on tracked fingerprints.
 pub const MAX_FINGERPRINTS: usize = 4_096;
-/// A sign of life this long after the connection broke shows that the replica has not crashed. What it
-/// sent before may be read, and gossiped, up to then.
+/// Time after a broken connection from which a sign of life shows that the replica has not crashed.
+/// Messages that it sent before a crash may be read and gossiped until then.
 pub const LIVENESS_DELAY: Span = Span::secs(1);
-/// Time for which heartbeats carry a change; long enough to reach every gateway.
-const SHARED_FOR: Span = Span::secs(3);
+/// Time for which heartbeats carry a changed record; long enough to reach every gateway.
+const GOSSIP_PERIOD: Span = Span::secs(3);
 /// Upper bound on records in one heartbeat.
 pub const MAX_GOSSIP_RECORDS: usize = 32;
 
@@ -46,74 +49,76 @@
 pub struct Crash {
     /// Incarnation of the replica.
     pub replica: Digest,
-    /// Time since then, in milliseconds.
+    /// Time since the crash, in milliseconds.
     pub age_ms: u64,
 }
 
-/// What gateways gossip about a fingerprint.
+/// Crashes and answers of one fingerprint, as gossiped between gateways.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
     /// The fingerprint.
     pub fingerprint: Fingerprint,
-    /// Replicas that crashed while running it.
+    /// Replicas that crashed while running a request with this fingerprint.
     pub crashes: Vec<Crash>,
-    /// Time since it was last answered, if it was, in milliseconds.
+    /// Time since its last complete answer, in milliseconds; `None` if there was none.
     pub answered_ms: Option<u64>,
 }
 
-/// A fingerprint whose verdict has changed.
+/// Start or end of the quarantine of a fingerprint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Transition {
     /// The fingerprint.
     pub fingerprint: Fingerprint,
-    /// It is quarantined from now on, or no longer.
+    /// Whether the quarantine starts.
     pub quarantined: bool,
-    /// Crashes without a later sign of life.
+    /// Number of crashes without a later sign of life.
     pub crashes: usize,
 }
 
+/// A broken connection to one replica.
 #[derive(Clone, Copy, Debug)]
-struct Mark {
+struct Observation {
     at: Time,
-    /// The replica gave a sign of life later. Kept, so that the same crash is not new when a peer
-    /// gossips it.
-    alive: bool,
+    /// Whether the replica gave a later sign of life. The observation is kept, so that the same
+    /// crash is not counted when a peer gossips it again.
+    is_alive: bool,
 }
 
 #[derive(Clone, Debug, Default)]
 struct Suspect {
-    crashes: BTreeMap<Digest, Mark>,
+    crashes: BTreeMap<Digest, Observation>,
     answered: Option<Time>,
-    /// Last change that peers may not have.
+    /// Time of the last change.
     changed: Time,
 }
 
 impl Suspect {
-    fn counted(&self) -> impl Iterator<Item = (Digest, Time)> {
+    /// Crashes without a later sign of life.
+    fn valid_crashes(&self) -> impl Iterator<Item = (Digest, Time)> {
         self.crashes
             .iter()
-            .filter(|(_, mark)| !mark.alive)
-            .map(|(replica, mark)| (*replica, mark.at))
+            .filter(|(_, crash)| !crash.is_alive)
+            .map(|(replica, crash)| (*replica, crash.at))
     }
 
-    /// Whether it has enough crashes for a quarantine.
-    fn is_strong(&self) -> bool {
-        self.counted().count() >= CRASH_THRESHOLD
+    /// Whether there are enough crashes for a quarantine.
+    fn has_enough_crashes(&self) -> bool {
+        self.valid_crashes().count() >= CRASH_THRESHOLD
     }
 
-    /// Adds a crash; `true` if it is new. Of several times for one crash the earliest is right, because
-    /// gossip lags.
+    /// Adds a crash; `true` if it is new. If the same crash is reported with several times, the
+    /// earliest one is kept, because gossip arrives late.
     fn add_crash(&mut self, at: Time, replica: Digest) -> bool {
         if self.answered.is_some_and(|answered| at <= answered + LIVENESS_DELAY) {
             return false;
         }
-        if let Some(mark) = self.crashes.get_mut(&replica) {
-            mark.at = mark.at.min(at);
+        if let Some(crash) = self.crashes.get_mut(&replica) {
+            crash.at = crash.at.min(at);
             return false;
         }
-        self.crashes.insert(replica, Mark { at, alive: false });
+        self.crashes.insert(replica, Observation { at, is_alive: false });
         if self.crashes.len() > MAX_CRASHES {
-            let oldest = self.crashes.iter().min_by_key(|(_, mark)| mark.at).map(|(r, _)| *r);
+            let oldest = self.crashes.iter().min_by_key(|(_, crash)| crash.at).map(|(r, _)| *r);
             oldest.and_then(|oldest| self.crashes.remove(&oldest));
         }
         true
@@ -125,54 +130,54 @@
             return false;
         }
         self.answered = Some(at);
-        self.crashes.retain(|_, mark| mark.at > at + LIVENESS_DELAY);
+        self.crashes.retain(|_, crash| crash.at > at + LIVENESS_DELAY);
         true
     }
 
-    fn is_forgotten(&self, now: Time) -> bool {
-        let last = self.crashes.values().map(|mark| mark.at).max().max(self.answered);
-        let memory = if self.is_strong() { LONG_MEMORY } else { MEMORY };
-        last.is_none_or(|last| now.since(last) > memory)
+    fn is_expired(&self, now: Time) -> bool {
+        let last = self.crashes.values().map(|crash| crash.at).max().max(self.answered);
+        let retention = if self.has_enough_crashes() { QUARANTINED_RETENTION } else { RETENTION };
+        last.is_none_or(|last| now.since(last) > retention)
     }
 
     fn record(&self, now: Time, fingerprint: Fingerprint) -> Record {
         let age = |at: Time| now.since(at).as_millis();
-        let crashes = self.counted().map(|(replica, at)| Crash { replica, age_ms: age(at) });
+        let crashes = self.valid_crashes().map(|(replica, at)| Crash { replica, age_ms: age(at) });
         Record { fingerprint, crashes: crashes.collect(), answered_ms: self.answered.map(age) }
     }
 }
 
-/// Fingerprints that crashed replicas, as far as this gateway knows.
+/// Fingerprints that crashed replicas, as known to this gateway.
 #[derive(Clone, Debug, Default)]
 pub struct Quarantine {
     suspects: BTreeMap<Fingerprint, Suspect>,
-    /// End of each quarantine.
+    /// Quarantined fingerprints with the ends of their quarantines.
     quarantined: BTreeMap<Fingerprint, Time>,
-    /// Fingerprints last reported as quarantined.
-    reported: BTreeSet<Fingerprint>,
+    /// Fingerprints that were quarantined at the last reevaluation.
+    last_quarantined: BTreeSet<Fingerprint>,
 }
 
 impl Quarantine {
-    /// Records that the connection broke on which `replica` ran a request.
+    /// Records that the connection to `replica` broke while a request was running on it.
     pub fn record_crash(&mut self, now: Time, fingerprint: Fingerprint, replica: Digest) {
         let suspect = self.suspects.entry(fingerprint).or_default();
         if suspect.add_crash(now, replica) {
             suspect.changed = now;
-            if suspect.is_strong() {
+            if suspect.has_enough_crashes() {
                 self.recompute();
             }
         }
     }
 
-    /// Records a complete answer.
+    /// Records a complete answer to a request.
     pub fn record_answer(&mut self, now: Time, fingerprint: Fingerprint) {
         let Some(suspect) = self.suspects.get_mut(&fingerprint) else {
             return;
         };
-        let was_strong = suspect.is_strong();
+        let had_enough_crashes = suspect.has_enough_crashes();
         if suspect.add_answer(now) {
             suspect.changed = now;
-            if was_strong {
+            if had_enough_crashes {
                 self.recompute();
             }
         }
@@ -184,16 +189,16 @@
         for record in records {
             let at = |age_ms: u64| now - Span::millis(age_ms);
             let mut suspect = self.suspects.remove(&record.fingerprint).unwrap_or_default();
-            let was_strong = suspect.is_strong();
+            let had_enough_crashes = suspect.has_enough_crashes();
             let mut changed = record.answered_ms.is_some_and(|age| suspect.add_answer(at(age)));
-            for end in record.crashes.iter().take(MAX_CRASHES) {
-                changed |= suspect.add_crash(at(end.age_ms), end.replica);
+            for crash in record.crashes.iter().take(MAX_CRASHES) {
+                changed |= suspect.add_crash(at(crash.age_ms), crash.replica);
             }
             if changed {
                 suspect.changed = now;
             }
-            is_new |= changed && (was_strong || suspect.is_strong());
-            if !suspect.is_forgotten(now) {
+            is_new |= changed && (had_enough_crashes || suspect.has_enough_crashes());
+            if !suspect.is_expired(now) {
                 self.suspects.insert(record.fingerprint, suspect);
             }
         }
@@ -202,32 +207,32 @@
         }
     }
 
-    /// Recent changes to gossip, the most crashes first.
+    /// Recently changed records to gossip, those with the most crashes first.
     pub fn gossip(&self, now: Time) -> Vec<Record> {
-        let young = self.suspects.iter().filter(|(_, s)| now.since(s.changed) < SHARED_FOR);
-        let mut young: Vec<(&Fingerprint, &Suspect)> = young.collect();
-        young.sort_by_key(|(_, s)| (Reverse(s.crashes.len()), Reverse(s.changed)));
-        young.truncate(MAX_GOSSIP_RECORDS);
-        young.into_iter().map(|(fingerprint, suspect)| suspect.record(now, *fingerprint)).collect()
+        let recent = self.suspects.iter().filter(|(_, s)| now.since(s.changed) < GOSSIP_PERIOD);
+        let mut recent: Vec<(&Fingerprint, &Suspect)> = recent.collect();
+        recent.sort_by_key(|(_, s)| (Reverse(s.crashes.len()), Reverse(s.changed)));
+        recent.truncate(MAX_GOSSIP_RECORDS);
+        recent.into_iter().map(|(fingerprint, suspect)| suspect.record(now, *fingerprint)).collect()
     }
 
     /// Records that must outlast this process: those with enough crashes for a quarantine.
     pub fn durable_records(&self, now: Time) -> Vec<Record> {
-        let persistent = self.suspects.iter().filter(|(_, s)| s.is_strong());
+        let persistent = self.suspects.iter().filter(|(_, s)| s.has_enough_crashes());
         persistent.map(|(fingerprint, suspect)| suspect.record(now, *fingerprint)).collect()
     }
 
-    /// Whether a record is obsolete: answered since, or too old.
+    /// Whether each crash of a record is too old or was followed by a complete answer.
     pub fn is_obsolete(&self, now: Time, record: &Record) -> bool {
         let answered = self.suspects.get(&record.fingerprint).and_then(|s| s.answered);
-        let counts = |age: Span| {
-            age <= LONG_MEMORY
+        let is_relevant = |age: Span| {
+            age <= QUARANTINED_RETENTION
                 && answered.is_none_or(|answered| now - age > answered + LIVENESS_DELAY)
         };
-        !record.crashes.iter().any(|end| counts(Span::millis(end.age_ms)))
+        !record.crashes.iter().any(|crash| is_relevant(Span::millis(crash.age_ms)))
     }
 
-    /// Time left of a quarantine; `None` if the request may be sent.
+    /// Time until the end of a fingerprint's quarantine; `None` if it is not quarantined.
     pub fn remaining(&self, now: Time, fingerprint: Fingerprint) -> Option<Span> {
         let until = *self.quarantined.get(&fingerprint)?;
         (now < until).then(|| until.since(now))
@@ -243,31 +248,32 @@
         self.quarantined.values().filter(|until| now < **until).count()
     }
 
-    /// Reevaluates all fingerprints; `is_alive` says whether a replica gave a sign of life after a time.
-    /// Returns the verdicts that changed since the last call.
+    /// Reevaluates all fingerprints and returns the quarantines that started or ended since the
+    /// last call. `is_alive` returns whether a replica gave a sign of life after the given time.
     pub fn reevaluate(
         &mut self,
         now: Time,
         is_alive: impl Fn(Digest, Time) -> bool,
     ) -> Vec<Transition> {
         for suspect in self.suspects.values_mut() {
-            for (replica, mark) in &mut suspect.crashes {
-                mark.alive = mark.alive || is_alive(*replica, mark.at + LIVENESS_DELAY);
+            for (replica, crash) in &mut suspect.crashes {
+                crash.is_alive = crash.is_alive || is_alive(*replica, crash.at + LIVENESS_DELAY);
             }
         }
-        self.suspects.retain(|_, suspect| !suspect.is_forgotten(now));
-        self.bound();
+        self.suspects.retain(|_, suspect| !suspect.is_expired(now));
+        self.evict_excess();
         self.recompute();
-        self.changes(now)
+        self.take_transitions(now)
     }
 
-    fn bound(&mut self) {
+    /// Removes the fingerprints with the fewest crashes beyond [`MAX_FINGERPRINTS`].
+    fn evict_excess(&mut self) {
         let excess = self.suspects.len().saturating_sub(MAX_FINGERPRINTS);
         if excess == 0 {
             return;
         }
         let order = |(fingerprint, suspect): (&Fingerprint, &Suspect)| {
-            (suspect.counted().count(), suspect.changed, *fingerprint)
+            (suspect.valid_crashes().count(), suspect.changed, *fingerprint)
         };
         let mut all: Vec<_> = self.suspects.iter().map(order).collect();
         all.sort_unstable();
@@ -276,17 +282,18 @@
         }
     }
 
-    /// Recomputes the quarantine. The fingerprint with the most crashes, of equals the earliest, is taken
-    /// as their cause; they do not count against others that share [`SHARED`] of them.
+    /// Recomputes the quarantines. Candidates are ordered by their number of crashes, then by the
+    /// time at which they reached the threshold. Crashes of a quarantined fingerprint do not count
+    /// against a later candidate that shares at least [`MIN_SHARED`] of them.
     fn recompute(&mut self) {
         self.quarantined.clear();
-        let mut strong = Vec::new();
+        let mut candidates = Vec::new();
         for (fingerprint, suspect) in &self.suspects {
             let mut crashes: Vec<(Time, Digest)> =
-                suspect.counted().map(|(r, at)| (at, r)).collect();
+                suspect.valid_crashes().map(|(r, at)| (at, r)).collect();
             if crashes.len() >= CRASH_THRESHOLD {
                 crashes.sort_unstable();
-                strong.push((
+                candidates.push((
                     Reverse(crashes.len()),
                     crashes[CRASH_THRESHOLD - 1].0,
                     *fingerprint,
@@ -294,12 +301,12 @@
                 ));
             }
         }
-        strong.sort_unstable();
+        candidates.sort_unstable();
         let mut causes: Vec<BTreeSet<Digest>> = Vec::new();
-        for (_, _, fingerprint, crashes) in strong {
+        for (_, _, fingerprint, crashes) in candidates {
             let replicas: BTreeSet<Digest> = crashes.iter().map(|(_, replica)| *replica).collect();
             let shares =
-                |cause: &&BTreeSet<Digest>| cause.intersection(&replicas).count() >= SHARED;
+                |cause: &&BTreeSet<Digest>| cause.intersection(&replicas).count() >= MIN_SHARED;
             let explained: BTreeSet<Digest> =
                 causes.iter().filter(shares).flatten().copied().collect();
             let own = crashes.iter().filter(|(_, replica)| !explained.contains(replica));
@@ -307,27 +314,29 @@
             if let Some(last) = own.last()
                 && own.len() >= CRASH_THRESHOLD
             {
-                let hold = Span(
-                    HOLD.0 << (own.len() - CRASH_THRESHOLD).min(MAX_CRASHES - CRASH_THRESHOLD),
+                let duration = Span(
+                    MIN_QUARANTINE.0
+                        << (own.len() - CRASH_THRESHOLD).min(MAX_CRASHES - CRASH_THRESHOLD),
                 );
-                self.quarantined.insert(fingerprint, *last + hold);
+                self.quarantined.insert(fingerprint, *last + duration);
                 causes.push(replicas);
             }
         }
     }
 
-    fn changes(&mut self, now: Time) -> Vec<Transition> {
+    /// Quarantines that started or ended since the last call.
+    fn take_transitions(&mut self, now: Time) -> Vec<Transition> {
         let quarantined = self.quarantined.iter().filter(|(_, until)| now < **until);
         let quarantined: BTreeSet<Fingerprint> =
             quarantined.map(|(fingerprint, _)| *fingerprint).collect();
-        let changed = quarantined.symmetric_difference(&self.reported);
-        let verdicts = changed.map(|fingerprint| Transition {
+        let changed = quarantined.symmetric_difference(&self.last_quarantined);
+        let transitions = changed.map(|fingerprint| Transition {
             fingerprint: *fingerprint,
             quarantined: quarantined.contains(fingerprint),
-            crashes: self.suspects.get(fingerprint).map_or(0, |s| s.counted().count()),
+            crashes: self.suspects.get(fingerprint).map_or(0, |s| s.valid_crashes().count()),
         });
-        let verdicts = verdicts.collect();
-        self.reported = quarantined;
-        verdicts
+        let transitions = transitions.collect();
+        self.last_quarantined = quarantined;
+        transitions
     }
 }
--- a/gateway/src/quarantine.rs
+++ b/gateway/src/quarantine.rs
@@ -1,7 +1,7 @@
 //! Logs and stores the quarantine of requests that crash replicas.
 //!
-//! Gossip is lost when all gateways end at once, so the records also lie in the store. They hold times of
-//! day there: an age would begin anew with each reader.
+//! Gossiped records are lost when all gateways stop at once, so the records are also stored. Stored
+//! records hold absolute times, as ages would restart with each read.
 
 use std::time::SystemTime;
 use std::time::UNIX_EPOCH;
@@ -24,7 +24,7 @@
 pub struct Crash {
     /// Incarnation of the replica.
     pub replica: Digest,
-    /// When, in Unix milliseconds.
+    /// Time of the crash, in Unix milliseconds.
     pub at: u64,
 }
 
@@ -34,15 +34,15 @@
     /// The fingerprint.
     #[serde(rename = "content")]
     pub fingerprint: Fingerprint,
-    /// Replicas that crashed while running it.
+    /// Replicas that crashed while running a request with this fingerprint.
     #[serde(rename = "ends")]
     pub crashes: Vec<Crash>,
 }
 
-/// The records as the store holds them.
+/// The stored records.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Entry {
-    /// Its last change; 0 before the first.
+    /// Revision of the last write; 0 if nothing was written yet.
     pub revision: u64,
     /// The records.
     pub records: Vec<Record>,
@@ -52,8 +52,8 @@
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64)
 }
 
-/// Records with ages in the place of times of day; what lies in the future has just been.
-fn aged(records: &[Record], now_ms: u64) -> Vec<quarantine::Record> {
+/// Converts times to ages; times in the future become an age of zero.
+fn to_ages(records: &[Record], now_ms: u64) -> Vec<quarantine::Record> {
     let crash = |crash: &Crash| quarantine::Crash {
         replica: crash.replica,
         age_ms: now_ms.saturating_sub(crash.at),
@@ -66,8 +66,8 @@
     records.iter().map(record).collect()
 }
 
-/// Records with times of day in the place of ages.
-fn dated(records: &[quarantine::Record], now_ms: u64) -> Vec<Record> {
+/// Converts ages to times.
+fn to_times(records: &[quarantine::Record], now_ms: u64) -> Vec<Record> {
     let crash = |crash: &quarantine::Crash| Crash {
         replica: crash.replica,
         at: now_ms.saturating_sub(crash.age_ms),
@@ -79,24 +79,25 @@
     records.iter().map(record).collect()
 }
 
-/// Merges the stored records.
+/// Merges the stored records into the quarantine.
 pub fn restore(shared: &Shared, stored: &Entry) {
-    let records = aged(&stored.records, unix_ms());
+    let records = to_ages(&stored.records, unix_ms());
     shared.gateway.borrow_mut().restore_quarantine(clock::now(), &records);
 }
 
-/// Stores the records if the stored ones are out of date. A conflicting write shows in the next read.
+/// Stores the records if the stored ones are out of date. If the write fails because another
+/// gateway has written, the next read of the store shows that gateway's records.
 pub async fn persist(
     shared: &Shared,
     stored: &Entry,
     write: &mut Box<dyn FnMut(Vec<Record>, u64) -> Reply<()>>,
 ) {
     let now_ms = unix_ms();
-    let known = aged(&stored.records, now_ms);
+    let known = to_ages(&stored.records, now_ms);
     let Some(records) = shared.gateway.borrow().quarantine_to_store(clock::now(), &known) else {
         return;
     };
-    let result = store::with_timeout(write(dated(&records, now_ms), stored.revision)).await;
+    let result = store::with_timeout(write(to_times(&records, now_ms), stored.revision)).await;
     shared.metrics.store_call("keep", result.is_ok());
     let line = Line::new("quarantine_stored").with("fingerprints", records.len());
     shared.log(match result {
@@ -105,7 +106,7 @@
     });
 }
 
-/// Logs transitions that have changed.
+/// Logs the start and end of quarantines.
 pub fn log_transitions(shared: &Shared, transitions: &[Transition]) {
     for transition in transitions {
         let event =
