--- a/core/src/gateway/plan.rs
+++ b/core/src/gateway/plan.rs
@@ -1,10 +1,10 @@
-//! Size and members of the isolated pool of each service, decided once for all gateways.
+//! Decides the size of each service's isolated pool and the streams in it, once for all gateways.
 //!
-//! Engines isolated for urgent streams serve their purpose only if all gateways mean the same ones.
-//! One gateway, the first live one in a common order, sums up the reports of all (see
-//! [`super::tally`]) and publishes a [`Plan`] with an epoch, which heartbeats spread. A later epoch
-//! replaces an earlier one. Nothing is locked: the next decider continues from the last epoch, and a
-//! gateway without a plan goes by its own observations.
+//! The pool only serves its purpose if all gateways agree on it. One gateway is the decider: the
+//! first live one in a common order. It sums up the reports of all gateways (see [`super::tally`])
+//! and publishes a [`Plan`] with an epoch, which heartbeats spread; a later epoch replaces an
+//! earlier one. There is no lock: the next decider continues from the last epoch, and a gateway
+//! without a plan uses its own observations.
 
 use std::collections::BTreeMap;
 
@@ -21,41 +21,43 @@
 use crate::time::Time;
 
 /// Time before a new decider publishes its first plan; most gateways have reported to it by then.
-const SETTLED: Span = Span::millis(1_500);
+const WARM_UP: Span = Span::millis(1_500);
 /// Lifetime of a gateway's count of streams in progress, which it reports at least every second.
-const REPORT_VALID: Span = Span::millis(3_000);
-/// Time after which what was seen counts half: a burst of a few seconds moves it, a single clump of
+const REPORT_LIFETIME: Span = Span::millis(3_000);
+/// Half-life of the observations: a burst of a few seconds changes the plan, a single clump of
 /// arrivals does not.
 const HALF_LIFE: Span = Span::secs(5);
-/// Streams begun that count in any case, so that a quiet hour forgets nothing.
-const LEAST_BEGUN: f64 = 100.0;
-/// Events of a stream before any was seen, and streams that this prior weighs as much as.
+/// Number of begun streams below which observations don't decay, so that a quiet hour erases
+/// nothing.
+const MIN_BEGUN: f64 = 100.0;
+/// Expected events of a stream before any was observed.
 const PRIOR_EVENTS: f64 = 30.0;
+/// Weight of this prior, in streams.
 const PRIOR_BEGUN: f64 = 1.0;
-/// Upper bound on kinds of streams, by their pauses, in a plan or a tally.
-const MOST_KINDS: usize = 16;
-/// Services whose plans are known at a time, at most.
-const MOST_SERVICES: usize = 256;
+/// Upper bound on the kinds of streams, which differ in their allowed pause, in a plan or a report.
+const MAX_KINDS: usize = 16;
+/// Upper bound on the services with a plan or with observations.
+const MAX_SERVICES: usize = 256;
 
-/// What all gateways do at one service.
+/// Isolated pool of one service, as all gateways are to use it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Plan {
     /// Short hash of the service's name.
     pub service: u32,
-    /// Number of the decision; a later one has a greater one.
+    /// Number of the decision; it grows with each one.
     pub epoch: u32,
-    /// Short hash of the decider's name, which decides between two of the same epoch.
+    /// Short hash of the decider's name; of two plans of the same epoch, the greater one prevails.
     pub by: u32,
-    /// Size of the isolated pool, from the first engine in the order of their hashes.
+    /// Number of engines in the isolated pool: the first ones in the order of their hashes.
     pub pool_size: u16,
-    /// Pauses of the streams that go there, in milliseconds.
+    /// Allowed pauses of the streams that go to the isolated pool, in milliseconds.
     pub isolated_pauses_ms: Vec<u32>,
     /// Age of the decision in milliseconds; at most a minute.
     pub age_ms: u16,
 }
 
 impl Plan {
-    /// Whether streams that may pause for `pause` go to the isolated pool.
+    /// Whether streams with this allowed pause go to the isolated pool.
     pub fn isolates(&self, pause: Span) -> bool {
         self.isolated_pauses_ms.iter().any(|ms| u64::from(*ms) == pause.as_millis())
     }
@@ -69,15 +71,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, derive_more::Display)]
 #[display(rename_all = "snake_case")]
 pub enum Comparison {
-    /// It is the known one.
+    /// The received plan is the known one.
     Same,
-    /// It is an earlier one: its sender is stale.
+    /// The received plan is earlier, so that its sender is behind.
     Older,
-    /// It is a later one and was taken.
+    /// The received plan is later and has replaced the known one.
     Newer,
 }
 
-/// The plans that a gateway goes by.
+/// The plans in force at a gateway, by service.
 #[derive(Debug, Default)]
 pub struct Table {
     plans: BTreeMap<u32, (Plan, Time)>,
@@ -89,16 +91,17 @@
         self.plans.get(&service).map(|(plan, _)| plan)
     }
 
-    /// Takes a plan in if it is a later one. One that nobody can have decided is passed over.
+    /// Stores a plan if it is later than the known one. `None` if it is ignored: it has more pauses
+    /// than any decider publishes, or the table is full.
     pub fn receive(&mut self, now: Time, plan: &Plan) -> Option<Comparison> {
-        if plan.isolated_pauses_ms.len() > MOST_KINDS {
+        if plan.isolated_pauses_ms.len() > MAX_KINDS {
             return None;
         }
         let known = self.plans.get(&plan.service);
         match known.map(|(known, _)| plan.order().cmp(&known.order())) {
             Some(std::cmp::Ordering::Equal) => return Some(Comparison::Same),
             Some(std::cmp::Ordering::Less) => return Some(Comparison::Older),
-            None if self.plans.len() >= MOST_SERVICES => return None,
+            None if self.plans.len() >= MAX_SERVICES => return None,
             _ => {}
         }
         let decided = now - Span::millis(u64::from(plan.age_ms));
@@ -106,7 +109,7 @@
         Some(Comparison::Newer)
     }
 
-    /// All plans, to gossip.
+    /// All plans with their ages, to gossip.
     pub fn gossip(&self, now: Time) -> Vec<Plan> {
         let aged = |(plan, decided): &(Plan, Time)| Plan {
             age_ms: now.since(*decided).as_millis().min(60_000) as u16,
@@ -115,48 +118,50 @@
         self.plans.values().map(aged).collect()
     }
 
-    /// Forgets the plans of services that are gone.
+    /// Drops the plans of removed services.
     pub fn retain(&mut self, mut exists: impl FnMut(u32) -> bool) {
         self.plans.retain(|service, _| exists(*service));
     }
 }
 
-/// One kind of streams over all gateways.
+/// Streams with the same allowed pause, of all gateways.
 #[derive(Debug)]
 struct Kind {
     begun: f64,
     events: f64,
+    /// Whether these streams are late beside long prompts.
     late: bool,
 }
 
-/// What is known of a service over all gateways.
+/// Observations of one service by all gateways.
 #[derive(Debug, Default)]
 struct Service {
     kinds: BTreeMap<u32, Kind>,
     gaps: Gaps,
     pool: Pool,
-    /// Streams in progress by gateway and pause, and when they were reported.
+    /// Streams in progress by gateway and allowed pause, with the time of the report.
     open: BTreeMap<u32, (Time, BTreeMap<u32, u16>)>,
 }
 
-/// What there is to decide about.
+/// Input of a decision about one service.
 #[derive(Clone, Copy, Debug)]
 pub struct Input<'a> {
     /// Short hash of the service's name.
     pub service: u32,
-    /// Its engines.
+    /// Properties of its engines.
     pub engine: &'a Engine,
-    /// How many of these may get work.
+    /// Number of engines that may get calls.
     pub engines: usize,
     /// The plan in force.
     pub known: Option<&'a Plan>,
 }
 
-/// What the decider knows.
+/// The decider's observations; empty at all other gateways.
 #[derive(Debug, Default)]
 pub struct Planner {
+    /// Time at which this gateway became the decider.
     since: Option<Time>,
-    faded: Time,
+    decayed: Time,
     services: BTreeMap<u32, Service>,
 }
 
@@ -167,7 +172,7 @@
             *self = Planner::default();
         } else if self.since.is_none() {
             self.since = Some(now);
-            self.faded = now;
+            self.decayed = now;
         }
     }
 
@@ -176,37 +181,38 @@
         self.since.is_some()
     }
 
-    /// Merges a gateway's report; a gateway that does not decide ignores it.
+    /// Merges a gateway's report; does nothing if this gateway is not the decider.
     pub fn merge(&mut self, now: Time, report: &Report) {
         if self.since.is_none() {
             return;
         }
         for sums in &report.services {
-            if self.services.len() < MOST_SERVICES || self.services.contains_key(&sums.service) {
+            if self.services.len() < MAX_SERVICES || self.services.contains_key(&sums.service) {
                 let service = self.services.entry(sums.service).or_default();
                 service.merge(now, report.gateway, sums);
             }
         }
     }
 
-    /// The next plan; `None` while too little is known, or if nothing changes. `reach` converts a number
-    /// of usable engines to a number of listed ones.
+    /// The next plan; `None` during the warm-up, without any report, or if nothing has changed.
+    /// `listed_prefix` converts a number of usable engines to a number of listed ones.
     pub fn decide(
         &mut self,
         now: Time,
         by: u32,
         input: &Input<'_>,
-        reach: impl Fn(usize) -> usize,
+        listed_prefix: impl Fn(usize) -> usize,
     ) -> Option<Plan> {
-        if now.since(self.since?) < SETTLED {
+        if now.since(self.since?) < WARM_UP {
             return None;
         }
         let Input { service, engine, engines, known } = *input;
-        let heard = self.services.get_mut(&service)?;
-        let isolated_pauses_ms = heard.isolated_pauses_ms(engine, known);
-        let streams = heard.streams(now, &isolated_pauses_ms);
-        let size = heard.pool.size(now, streams, engine, engines);
-        let pool_size = steady(reach(size), engines, known).min(usize::from(u16::MAX)) as u16;
+        let observed = self.services.get_mut(&service)?;
+        let isolated_pauses_ms = observed.isolated_pauses_ms(engine, known);
+        let streams = observed.streams(now, &isolated_pauses_ms);
+        let size = observed.pool.size(now, streams, engine, engines);
+        let pool_size =
+            stabilise(listed_prefix(size), engines, known).min(usize::from(u16::MAX)) as u16;
         if known.is_some_and(|known| {
             known.pool_size == pool_size && known.isolated_pauses_ms == isolated_pauses_ms
         }) {
@@ -216,27 +222,28 @@
         Some(Plan { service, epoch, by, pool_size, isolated_pauses_ms, age_ms: 0 })
     }
 
-    /// Lets what was seen before fade; to be called every now and then.
+    /// Decays the observations by the time since the last call; to be called before each decision.
     pub fn decay(&mut self, now: Time) {
-        let elapsed = now.since(std::mem::replace(&mut self.faded, now));
-        let keeps = (0.5_f64).powf(elapsed.as_secs_f64() / HALF_LIFE.as_secs_f64());
-        self.services.values_mut().for_each(|service| service.decay(now, keeps));
+        let elapsed = now.since(std::mem::replace(&mut self.decayed, now));
+        let factor = (0.5_f64).powf(elapsed.as_secs_f64() / HALF_LIFE.as_secs_f64());
+        self.services.values_mut().for_each(|service| service.decay(now, factor));
     }
 }
 
-/// The size to publish where `needed` engines are needed: the known one as long as that has them and
-/// not a whole step more. Otherwise an engine that rests for a moment would move the lane's end.
-fn steady(needed: usize, engines: usize, known: Option<&Plan>) -> usize {
+/// The pool size to publish if `needed` engines are needed: the known size if it suffices and has
+/// less than one step to spare. Otherwise a short backoff of one engine would move the pool's
+/// boundary.
+fn stabilise(needed: usize, engines: usize, known: Option<&Plan>) -> usize {
     let known = known.map_or(0, |known| usize::from(known.pool_size));
-    let spare = pool::step(engines);
-    let suffices = needed > 0 && (needed..needed + spare).contains(&known);
+    let step = pool::step(engines);
+    let suffices = needed > 0 && (needed..needed + step).contains(&known);
     if suffices { known } else { needed }
 }
 
 impl Service {
     fn merge(&mut self, now: Time, gateway: u32, sums: &Sums) {
-        for stream in sums.streams.iter().take(MOST_KINDS) {
-            if self.kinds.len() >= MOST_KINDS && !self.kinds.contains_key(&stream.pause_ms) {
+        for stream in sums.streams.iter().take(MAX_KINDS) {
+            if self.kinds.len() >= MAX_KINDS && !self.kinds.contains_key(&stream.pause_ms) {
                 continue;
             }
             let prior =
@@ -245,37 +252,41 @@
             kind.begun += f64::from(stream.begun);
             kind.events += f64::from(stream.begun) + f64::from(stream.events);
         }
-        for (class, count) in &sums.gaps {
-            self.gaps.add(*class, f64::from(*count));
+        for (bucket, count) in &sums.gaps {
+            self.gaps.add(*bucket, f64::from(*count));
         }
         self.pool.merge(
             sums.prefill_ms.into(),
             sums.duration_ms.into(),
             sums.all_prefill_ms.into(),
         );
-        let open = sums.streams.iter().take(MOST_KINDS).map(|s| (s.pause_ms, s.open)).collect();
+        let open = sums.streams.iter().take(MAX_KINDS).map(|s| (s.pause_ms, s.open)).collect();
         self.open.insert(gateway, (now, open));
     }
 
-    fn decay(&mut self, now: Time, keeps: f64) {
+    fn decay(&mut self, now: Time, factor: f64) {
         for kind in self.kinds.values_mut() {
-            let keeps = keeps.max((LEAST_BEGUN / kind.begun).min(1.0));
-            kind.begun *= keeps;
-            kind.events *= keeps;
+            let factor = factor.max((MIN_BEGUN / kind.begun).min(1.0));
+            kind.begun *= factor;
+            kind.events *= factor;
         }
-        self.gaps.decay(keeps);
-        self.pool.decay(keeps);
-        self.open.retain(|_, (at, _)| now.since(*at) < REPORT_VALID);
+        self.gaps.decay(factor);
+        self.pool.decay(factor);
+        self.open.retain(|_, (at, _)| now.since(*at) < REPORT_LIFETIME);
     }
 
-    /// Pauses of the streams that come late beside long prompts, in milliseconds.
+    /// Allowed pauses of the streams that are late beside long prompts, in milliseconds.
     fn isolated_pauses_ms(&mut self, engine: &Engine, known: Option<&Plan>) -> Vec<u32> {
         let mut isolated = Vec::new();
         for (pause_ms, kind) in &mut self.kinds {
             let pause = Span::millis(u64::from(*pause_ms));
-            let was = kind.late || known.is_some_and(|known| known.isolates(pause));
-            kind.late =
-                self.gaps.are_late(pause, kind.events / kind.begun, engine.tokens_per_event, was);
+            let was_late = kind.late || known.is_some_and(|known| known.isolates(pause));
+            kind.late = self.gaps.are_late(
+                pause,
+                kind.events / kind.begun,
+                engine.tokens_per_event,
+                was_late,
+            );
             if kind.late {
                 isolated.push(*pause_ms);
             }
@@ -283,9 +294,10 @@
         isolated
     }
 
+    /// Streams in progress at all gateways that go to the isolated pool.
     fn streams(&self, now: Time, isolated_pauses_ms: &[u32]) -> u32 {
-        let told = self.open.values().filter(|(at, _)| now.since(*at) < REPORT_VALID);
-        let open = told.flat_map(|(_, open)| open.iter());
+        let recent = self.open.values().filter(|(at, _)| now.since(*at) < REPORT_LIFETIME);
+        let open = recent.flat_map(|(_, open)| open.iter());
         open.filter(|(pause, _)| isolated_pauses_ms.contains(pause))
             .map(|(_, n)| u32::from(*n))
             .sum()
--- a/core/src/gateway/pool.rs
+++ b/core/src/gateway/pool.rs
@@ -1,122 +1,130 @@
-//! Isolated pool of engines for streams that long prompts would disturb.
+//! Estimates the size of the isolated pool: engines for streams that long prompts would delay.
 //!
-//! An engine reads a prompt in chunks between the steps of its running requests. While it reads a
-//! long one, every step takes about five times as long, and a stream whose pauses must be short
-//! comes late. So such streams share a few engines, and long prompts go to the others. All
-//! gateways agree on which without a message: the first of the open ones, in the order of their
-//! hashes, as many as the streams of all gateways need for their places and their own prompts.
+//! An engine prefills a prompt in chunks between the decoding steps of its running requests. During
+//! the prefill of a long prompt every step takes about five times as long, and a stream whose
+//! pauses must be short is late. Such sensitive streams therefore share a few engines, and long
+//! prompts go to the others. The pool is the first of the open engines in the order of their
+//! hashes, so that gateways with the same size agree on its members without a message. Its size
+//! covers both the slots and the prefill that the sensitive streams of all gateways need.
 
 use crate::gateway::config::Engine;
 use crate::time::Span;
 use crate::time::Time;
 
-/// Part of an engine's slots that sensitive streams fill before they take one more engine. Owners
-/// know which engine of the lane has places, so little need be spare; against 0.8, reports on time
-/// rose by 2 to 12 in 100 in four bursts.
-const FILL: f64 = 0.9;
-/// Part of its time for which an engine of the lane reads. Where it reads all the time, each step
-/// has a chunk, and what the lane is for is lost.
-const READING: f64 = 0.45;
-/// The same where all engines read for longer than that. The lane reads as much as the others then,
-/// up to this: beyond, its streams would queue as the reports do.
-const MOST_READING: f64 = 0.75;
-/// Weight that earlier streams keep when one more of any kind has ended: the last two hundred count.
-const KEEPS: f64 = 0.995;
-/// Part of all engines that they may take.
-const MOST: f64 = 0.6;
-/// Steps in which the lane grows and shrinks, over all engines. Where gateways disagree on an
-/// engine, its cached heads are read again elsewhere, and reports are sent among chats.
+/// Share of an engine's slots that sensitive streams fill before the pool takes one more engine.
+/// Few slots need be spare, because owners know which engines of the pool have free ones: in four
+/// bursts, the share of long-prompt calls that were on time was 2 to 12 percentage points higher
+/// than at 0.8.
+const SLOT_FILL: f64 = 0.9;
+/// Share of its time that an engine of the pool spends on prefill. An engine that prefills all the
+/// time does so in each step, and its streams are as late as outside of the pool.
+const PREFILL_SHARE: f64 = 0.45;
+/// Upper bound on this share when all engines prefill for longer than that. Engines of the pool
+/// then prefill as much as the others, but above this bound their streams would queue as long
+/// prompts do.
+const MAX_PREFILL_SHARE: f64 = 0.75;
+/// Weight that the sums keep when one more call ends; about the last two hundred calls count.
+const DECAY: f64 = 0.995;
+/// Upper bound on the pool's share of all engines.
+const MAX_POOL_SHARE: f64 = 0.6;
+/// Number of steps between an empty pool and one of all engines. Gateways that count slightly
+/// different streams mostly agree on a size in steps. Where they disagree on an engine, its cached
+/// prefixes are prefilled again elsewhere, and long prompts are sent among sensitive streams.
 const STEPS: usize = 16;
-/// How long an engine stays in the lane after it was last needed: a peak of clumped arrivals is
-/// over by then, and the streams that are left on it last about as long again.
-const STAY: Span = Span::millis(700);
+/// Time for which the pool keeps its size after it was last needed. A peak of clumped arrivals is
+/// over by then, and the streams that remain on the surplus engines last about as long again.
+const SHRINK_DELAY: Span = Span::millis(700);
 
-/// Engines by which the lane grows and shrinks, of `engines` in all.
+/// Number of engines by which the pool grows and shrinks, of `engines` in all.
 pub fn step(engines: usize) -> usize {
     engines / STEPS + 1
 }
 
-/// Number of engines in the lane.
+/// Estimator of the number of engines in the isolated pool.
 #[derive(Debug, Default)]
 pub struct Pool {
     size: usize,
+    /// Time at which the size was last needed.
     needed: Time,
-    /// Milliseconds that ended streams took to read, and lasted in all; the older count less.
+    /// Decayed sum of the prefill times of ended sensitive streams, in milliseconds.
     prefill_ms: f64,
+    /// Decayed sum of the durations of these streams, in milliseconds.
     duration_ms: f64,
-    /// Milliseconds that all streams took to read meanwhile.
+    /// Decayed sum of the prefill times of all ended calls, in milliseconds.
     all_prefill_ms: f64,
 }
 
 impl Pool {
-    /// Notes a stream that ended: its prompt took `prefill_ms`, and it lasted for `life`.
-    pub fn record(&mut self, prefill_ms: f64, life: Span) {
+    /// Records the end of a sensitive stream with its prefill time and duration.
+    pub fn record(&mut self, prefill_ms: f64, duration: Span) {
         self.decay_once();
         self.prefill_ms += prefill_ms;
-        self.duration_ms += life.as_secs_f64() * 1e3;
+        self.duration_ms += duration.as_secs_f64() * 1e3;
         self.all_prefill_ms += prefill_ms;
     }
 
-    /// Notes a stream that is not sensitive, and ended.
+    /// Records the end of any other call with its prefill time.
     pub fn record_other(&mut self, prefill_ms: f64) {
         self.decay_once();
         self.all_prefill_ms += prefill_ms;
     }
 
-    /// Adds what other gateways saw, without making earlier sums older.
+    /// Adds the sums of other gateways, in milliseconds, without decaying the earlier ones.
     pub fn merge(&mut self, prefill_ms: f64, duration_ms: f64, all_prefill_ms: f64) {
-        let sound = |ms: f64| if ms.is_finite() { ms.max(0.0) } else { 0.0 };
-        self.prefill_ms += sound(prefill_ms);
-        self.duration_ms += sound(duration_ms);
-        self.all_prefill_ms += sound(all_prefill_ms);
+        let valid = |ms: f64| if ms.is_finite() { ms.max(0.0) } else { 0.0 };
+        self.prefill_ms += valid(prefill_ms);
+        self.duration_ms += valid(duration_ms);
+        self.all_prefill_ms += valid(all_prefill_ms);
     }
 
-    /// All sums fade alike: faded by sensitive streams only, hours without one would pile up what
-    /// the others read, and the next ones would find a lane too small.
+    /// Decays all sums alike, for each call of any kind. If only sensitive streams decayed them,
+    /// the prefill of other calls would accumulate in hours without such a stream, and the pool
+    /// would be too small for the next ones.
     fn decay_once(&mut self) {
-        self.decay(KEEPS);
+        self.decay(DECAY);
     }
 
-    /// Keeps this part of the sums.
-    pub fn decay(&mut self, keeps: f64) {
+    /// Multiplies the sums by `factor`.
+    pub fn decay(&mut self, factor: f64) {
         for sum in [&mut self.prefill_ms, &mut self.duration_ms, &mut self.all_prefill_ms] {
-            *sum *= keeps;
+            *sum *= factor;
         }
     }
 
-    /// Part of its time for which each engine would read if all shared all prompts, where sensitive
-    /// streams keep `reading` engines of `engines` busy.
-    fn load(&self, reading: f64, engines: usize) -> f64 {
+    /// Share of its time that each engine would spend on prefill if all `engines` shared all
+    /// prompts, given that the prefill of sensitive streams keeps `busy` engines busy.
+    fn prefill_load(&self, busy: f64, engines: usize) -> f64 {
         if self.prefill_ms > 0.0 {
-            reading * self.all_prefill_ms / self.prefill_ms / engines.max(1) as f64
+            busy * self.all_prefill_ms / self.prefill_ms / engines.max(1) as f64
         } else {
             0.0
         }
     }
 
-    /// Part of a stream's life in which its prompt is read, and so the engines that each stream in
-    /// progress keeps reading.
-    fn reading_share(&self) -> f64 {
+    /// Share of a sensitive stream's duration that is prefill, and thus the number of engines that
+    /// the prefill of such streams keeps busy for each one in progress.
+    fn prefill_share(&self) -> f64 {
         if self.duration_ms > 0.0 { (self.prefill_ms / self.duration_ms).min(1.0) } else { 0.0 }
     }
 
-    /// The size at `now`, with `streams` sensitive streams over `engines` open engines.
+    /// Size of the pool at `now`, for `streams` sensitive streams in progress at all gateways and
+    /// `engines` open engines.
     pub fn size(&mut self, now: Time, streams: u32, engine: &Engine, engines: usize) -> usize {
-        if streams == 0 && now.since(self.needed) > STAY {
+        if streams == 0 && now.since(self.needed) > SHRINK_DELAY {
             self.size = 0;
             return 0;
         }
-        let full = f64::from(engine.slots.max(1)) * FILL;
-        let by_places = f64::from(streams) / full;
-        let reading = f64::from(streams) * self.reading_share();
-        let by_reading = reading / self.load(reading, engines).clamp(READING, MOST_READING);
-        let wanted = by_places.max(by_reading).ceil() as usize;
-        // Gateways count slightly different streams; in steps they agree all the same.
+        let streams_per_engine = f64::from(engine.slots.max(1)) * SLOT_FILL;
+        let by_slots = f64::from(streams) / streams_per_engine;
+        let busy = f64::from(streams) * self.prefill_share();
+        let by_prefill =
+            busy / self.prefill_load(busy, engines).clamp(PREFILL_SHARE, MAX_PREFILL_SHARE);
+        let wanted = by_slots.max(by_prefill).ceil() as usize;
         let wanted = wanted.next_multiple_of(step(engines));
-        if wanted >= self.size || now.since(self.needed) > STAY {
+        if wanted >= self.size || now.since(self.needed) > SHRINK_DELAY {
             self.size = wanted;
             self.needed = now;
         }
-        self.size.min((engines as f64 * MOST) as usize)
+        self.size.min((engines as f64 * MAX_POOL_SHARE) as usize)
     }
 }
--- a/core/src/gateway/tally.rs
+++ b/core/src/gateway/tally.rs
@@ -1,7 +1,8 @@
-//! Sums over the engines' streams since the last report.
+//! Counts the streams of each service's engines for the next report to the decider.
 //!
-//! In a large fleet each gateway serves too few urgent streams for an estimate of its own, so gateways
-//! send sums to one decider (see [`super::plan`]). A lost datagram only makes the sample smaller.
+//! In a large fleet each gateway has too few sensitive streams for an estimate of its own, so that
+//! all gateways send their sums to one decider (see [`super::plan`]). A report covers the time
+//! since the last one, and a lost datagram only makes the sample smaller.
 
 use std::collections::BTreeMap;
 
@@ -11,16 +12,16 @@
 use super::gaps;
 use crate::time::Span;
 
-/// Streams that may pause for equally long, at one service.
+/// Streams of one service with the same allowed pause.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stream {
-    /// Pause that they may have, in milliseconds.
+    /// Allowed pause between their events, in milliseconds.
     pub pause_ms: u32,
-    /// In progress now.
+    /// Streams in progress.
     pub open: u16,
     /// First events since the last report.
     pub begun: u16,
-    /// Further events since then.
+    /// Further events since the last report.
     pub events: u32,
 }
 
@@ -29,16 +30,16 @@
 pub struct Sums {
     /// Short hash of the service's name.
     pub service: u32,
-    /// Streams by the pause that they may have.
+    /// Streams by allowed pause.
     pub streams: Vec<Stream>,
-    /// Gaps between events beside long prompts: class of length (see [`gaps`]) and number.
+    /// Gaps between events beside long prompts: histogram bucket (see [`gaps`]) and number.
     pub gaps: Vec<(u8, u16)>,
     /// Prefill time of ended streams of the isolated pool, in milliseconds.
     pub prefill_ms: f32,
-    /// Milliseconds that these lasted.
+    /// Duration of these streams, in milliseconds.
     #[serde(rename = "life_ms")]
     pub duration_ms: f32,
-    /// Milliseconds that all ended calls took to read.
+    /// Prefill time of all ended calls, in milliseconds.
     #[serde(rename = "all_reading_ms")]
     pub all_prefill_ms: f32,
 }
@@ -48,11 +49,11 @@
 pub struct Report {
     /// Short hash of the gateway's name.
     pub gateway: u32,
-    /// Its services.
+    /// Sums of its services.
     pub services: Vec<Sums>,
 }
 
-/// Counts for the next report, of one service.
+/// Counters of one service for the next report.
 #[derive(Debug, Default)]
 pub struct Tally {
     streams: BTreeMap<Span, Stream>,
@@ -60,18 +61,18 @@
     prefill_ms: f64,
     duration_ms: f64,
     all_prefill_ms: f64,
-    /// Streams in progress as last reported.
-    told: u32,
+    /// Streams in progress according to the last report.
+    reported_open: u32,
 }
 
 impl Tally {
     fn stream(&mut self, pause: Span) -> &mut Stream {
         let pause_ms = pause.as_millis().min(u64::from(u32::MAX)) as u32;
-        let fresh = Stream { pause_ms, ..Stream::default() };
-        self.streams.entry(pause).or_insert(fresh)
+        let empty = Stream { pause_ms, ..Stream::default() };
+        self.streams.entry(pause).or_insert(empty)
     }
 
-    /// Counts a stream that is sent.
+    /// Counts a stream that is sent to a replica.
     pub fn record_start(&mut self, pause: Span) {
         let stream = self.stream(pause);
         stream.open = stream.open.saturating_add(1);
@@ -89,7 +90,8 @@
         stream.begun = stream.begun.saturating_add(1);
     }
 
-    /// Counts a further event that came after `gap`, if that says how it is beside long prompts.
+    /// Counts a further event; `gap` is the time since the last one if the engine may have
+    /// prefilled long prompts meanwhile.
     pub fn record_event(&mut self, pause: Span, gap: Option<Span>) {
         let stream = self.stream(pause);
         stream.events = stream.events.saturating_add(1);
@@ -99,24 +101,25 @@
         }
     }
 
-    /// Counts a call that ended: its prompt took `prefill_ms`. `life` is how long it lasted, if it is
-    /// a stream of the isolated pool.
-    pub fn record_call_end(&mut self, prefill_ms: f64, life: Option<Span>) {
+    /// Counts a call that ended, with its prefill time in milliseconds, and its duration if it is a
+    /// stream of the isolated pool.
+    pub fn record_call_end(&mut self, prefill_ms: f64, duration: Option<Span>) {
         self.all_prefill_ms += prefill_ms;
-        if let Some(life) = life {
+        if let Some(duration) = duration {
             self.prefill_ms += prefill_ms;
-            self.duration_ms += life.as_secs_f64() * 1e3;
+            self.duration_ms += duration.as_secs_f64() * 1e3;
         }
     }
 
-    /// What to tell of `service`, counted from now on anew; `None` if there is nothing.
+    /// The sums to report for `service`, and resets the counters; `None` if there is nothing to
+    /// report.
     pub fn take(&mut self, service: u32) -> Option<Sums> {
         let open: u32 = self.streams.values().map(|s| u32::from(s.open)).sum();
-        // That the last stream has ended is news too.
-        if open == 0 && self.told == 0 && self.all_prefill_ms <= 0.0 {
+        // The end of the last stream must be reported too.
+        if open == 0 && self.reported_open == 0 && self.all_prefill_ms <= 0.0 {
             return None;
         }
-        self.told = open;
+        self.reported_open = open;
         let sums = Sums {
             service,
             streams: self.streams.values().copied().collect(),
