--- a/core/src/gateway/fleet.rs
+++ b/core/src/gateway/fleet.rs
@@ -145,8 +145,8 @@
         }
     }
 
-    /// Removes and returns the updates for the owners of engines. The upper half of their call
-    /// numbers is zero.
+    /// Removes and returns the updates for the owners of engines. The caller adds this gateway's hash
+    /// to their call numbers.
     pub fn drain_updates(&mut self) -> Vec<Update> {
         std::mem::take(&mut self.updates)
     }
--- a/core/src/gateway/model.rs
+++ b/core/src/gateway/model.rs
@@ -1,4 +1,6 @@
-//! What a gateway learns of the engines of one service.
+//! This gateway's own observations of the engines of one service.
+//!
+//! They decide about the isolated pool only while the gateway has no plan for the service.
 
 use std::collections::BTreeMap;
 
@@ -9,33 +11,34 @@
 use super::prefill::Estimator;
 use crate::time::Span;
 
-/// Engines of one service as they were observed.
+/// Observations of the engines of one service.
 #[derive(Debug, Default)]
 pub(super) struct Model {
-    /// Cost of prompts.
+    /// Estimator of prefill times.
     pub(super) prefill: Estimator,
-    /// Gaps between events outside the lane.
+    /// Gaps between events of streams outside the isolated pool.
     pub(super) gaps: Gaps,
-    /// Isolated pool.
+    /// Size of the isolated pool.
     pub(super) pool: Pool,
-    /// Streams by the pause that they may have.
+    /// Streams by allowed pause.
     streams: BTreeMap<Span, Streams>,
 }
 
-/// Streams that may pause for equally long.
+/// Streams with the same allowed pause.
 #[derive(Debug)]
 struct Streams {
-    /// They were late beside long prompts.
+    /// Whether these streams were late beside long prompts at the last check.
     late: bool,
-    /// Events and streams counted lately.
+    /// Decayed number of events.
     events: f64,
+    /// Decayed number of streams with a first event.
     begun: f64,
 }
 
-/// Events of a stream before any was seen: a hundred tokens or two.
+/// Expected events of a stream before any was observed: those of a hundred or two hundred tokens.
 const PRIOR_EVENTS: f64 = 30.0;
-/// Weight that earlier streams keep when one more begins: the last hundred count.
-const KEEPS: f64 = 0.99;
+/// Weight that earlier streams keep when one more begins; about the last hundred count.
+const DECAY: f64 = 0.99;
 
 impl Default for Streams {
     fn default() -> Streams {
@@ -44,7 +47,7 @@
 }
 
 impl Model {
-    /// Whether a route's streams come late on an engine that reads long prompts.
+    /// Whether a route's streams are late on an engine that prefills long prompts.
     pub(super) fn is_sensitive(&mut self, route: &Route, engine: &Engine) -> bool {
         if !route.streams {
             return false;
@@ -59,12 +62,12 @@
     /// Counts a stream's first event.
     pub(super) fn record_first_event(&mut self, pause: Span) {
         let streams = self.streams.entry(pause).or_default();
-        streams.begun = streams.begun * KEEPS + 1.0;
-        streams.events = streams.events * KEEPS + 1.0;
+        streams.begun = streams.begun * DECAY + 1.0;
+        streams.events = streams.events * DECAY + 1.0;
     }
 
-    /// Counts a further event of a stream that may pause for `pause`, after `gap`. What happens
-    /// `isolated` from long prompts says nothing about how it is beside them.
+    /// Counts a further event of a stream with this allowed pause, and the gap before it. The gap
+    /// of an `isolated` stream is left out, because it says nothing about gaps beside long prompts.
     pub(super) fn record_event(&mut self, pause: Span, gap: Span, isolated: bool) {
         self.streams.entry(pause).or_default().events += 1.0;
         if !isolated {
--- a/core/src/gateway/occupancy.rs
+++ b/core/src/gateway/occupancy.rs
@@ -1,10 +1,10 @@
-//! Calls in flight at an engine, as its owner counts them.
+//! Counts the calls in progress at the engines that this gateway owns.
 //!
-//! Load reports of engines are too old in a burst: every gateway would send to the engine that was free
-//! when the last report was made. So each engine has an owner among the live gateways, by rendezvous
-//! hash, which all gateways notify of calls sent, read and ended, and query before a long prompt is sent.
-//! An owner's occupancy is a hint, not a lock: it is lost with its gateway, and a query without an answer
-//! falls back to the reports.
+//! Load reports of engines are too old in a burst: every gateway would send to the engine that was
+//! free at the last report. Each engine therefore has an owner among the live gateways, by
+//! rendezvous hashing. All gateways notify the owner of calls that are sent, have their first
+//! event, and end, and query it before they send a call. An owner's occupancy is a hint and not a
+//! lock: it is lost with its gateway, and without an answer to a query the load reports are used.
 
 use std::collections::BTreeMap;
 
@@ -15,42 +15,45 @@
 use crate::time::Span;
 use crate::time::Time;
 
-/// Drops in-flight entries whose completion message was lost.
-const LONGEST: Span = Span::secs(15);
-/// Minimum ownership time before an occupancy snapshot is considered complete.
-const SETTLED: Span = Span::millis(1_500);
-/// Weight of the newest interval between two ends at an engine.
+/// Time after which a call is dropped although its end was not reported: that message was lost.
+const CALL_LIFETIME: Span = Span::secs(15);
+/// Time of ownership after which a snapshot counts as complete.
+const WARM_UP: Span = Span::millis(1_500);
+/// Weight of the newest interval between two ends of calls at an engine.
 const INTERVAL_WEIGHT: f64 = 0.1;
-/// Interval between two ends at an engine before any was seen, and its bounds, in milliseconds.
-const INTERVAL_MS: f64 = 60.0;
-const INTERVAL_FROM_MS: f64 = 15.0;
-const INTERVAL_TO_MS: f64 = 250.0;
+/// Interval between two ends of calls before any was observed, in milliseconds.
+const PRIOR_INTERVAL_MS: f64 = 60.0;
+/// Lower bound on an observed interval, in milliseconds.
+const MIN_INTERVAL_MS: f64 = 15.0;
+/// Upper bound on an observed interval, in milliseconds.
+const MAX_INTERVAL_MS: f64 = 250.0;
 
 /// Upper bound on the prefill time of one prompt, in milliseconds.
-const MOST_UNREAD_MS: f64 = 10_000.0;
-/// Upper bound on the times in a snapshot, in milliseconds.
-const MOST_MS: f32 = 1e6;
+const MAX_PREFILL_MS: f64 = 10_000.0;
+/// Upper bound on the times in a valid snapshot, in milliseconds.
+const MAX_SNAPSHOT_MS: f32 = 1e6;
 
-/// What happened to a call at an engine.
+/// Change in the state of a call at an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Change {
-    /// It was sent; its prompt takes so many milliseconds to read.
+    /// The call was sent; the value is the expected prefill time of its prompt, in milliseconds.
     Sent(f32),
-    /// Its first event came.
+    /// The first event came, so that the prefill of the prompt has ended.
     #[serde(rename = "Read")]
     FirstEvent,
-    /// It ended.
+    /// The call ended.
     Ended,
 }
 
-/// One change, as it is sent to the engine's owner.
+/// Change of one call, as it is sent to the engine's owner.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Update {
     /// Incarnation of the engine.
     pub engine: Digest,
-    /// The call: its gateway's short hash in the upper half, and a number of that gateway's.
+    /// The call: its gateway's short hash in the upper half, and that gateway's number for it in
+    /// the lower half.
     pub call: u64,
-    /// What happened.
+    /// Change in the state of the call.
     pub change: Change,
 }
 
@@ -59,39 +62,44 @@
 pub struct Snapshot {
     /// Incarnation of the engine.
     pub engine: Digest,
-    /// Calls there, running and waiting.
+    /// Calls at the engine, running and waiting.
     pub calls: u16,
-    /// Time to read all prompts there that are not read yet, in milliseconds.
+    /// Prefill time of all prompts at the engine whose calls had no first event yet, in
+    /// milliseconds.
     #[serde(rename = "unread_ms")]
     pub pending_prefill_ms: f32,
-    /// Usual time between two ends while the engine is full, in milliseconds.
+    /// Moving average of the time between two ends of calls, in milliseconds.
     pub interval_ms: f32,
 }
 
 impl Snapshot {
-    /// Whether its numbers are plausible. A single NaN would make every comparison of costs false.
+    /// Whether the times are in bounds. A NaN would make the comparison of costs meaningless.
     pub fn is_valid(&self) -> bool {
-        let possible = 0.0..=MOST_MS;
-        possible.contains(&self.pending_prefill_ms) && possible.contains(&self.interval_ms)
+        let bounds = 0.0..=MAX_SNAPSHOT_MS;
+        bounds.contains(&self.pending_prefill_ms) && bounds.contains(&self.interval_ms)
     }
 }
 
+/// Call in progress at an engine.
 #[derive(Clone, Copy, Debug)]
 struct Entry {
-    at: Time,
-    /// Time to read the prompt, in milliseconds; zero when it has been read.
+    sent: Time,
+    /// Expected prefill time of the prompt, in milliseconds; zero after the first event.
     pending_prefill_ms: f64,
 }
 
 #[derive(Debug)]
 struct Engine {
+    /// Time from which this gateway has counted the engine's calls.
     since: Time,
     entries: BTreeMap<u64, Entry>,
-    ended: Option<Time>,
+    /// Time of the last end of a call.
+    last_end: Option<Time>,
+    /// Moving average of the time between two ends of calls, in milliseconds.
     interval_ms: f64,
 }
 
-/// Engines that this gateway owns, or owned lately.
+/// Occupancy of the engines that this gateway owns or has owned lately.
 #[derive(Debug, Default)]
 pub struct Occupancy {
     engines: BTreeMap<Digest, Engine>,
@@ -102,18 +110,18 @@
         self.engines.entry(engine).or_insert_with(|| Engine {
             since: now,
             entries: BTreeMap::new(),
-            ended: None,
-            interval_ms: INTERVAL_MS,
+            last_end: None,
+            interval_ms: PRIOR_INTERVAL_MS,
         })
     }
 
-    /// Records a change.
+    /// Records a change of a call at an engine.
     pub fn record(&mut self, now: Time, update: &Update) {
         let engine = self.engine(now, update.engine);
         match update.change {
             Change::Sent(ms) => {
                 let ms = if ms.is_nan() { 0.0 } else { f64::from(ms) };
-                let entry = Entry { at: now, pending_prefill_ms: ms.clamp(0.0, MOST_UNREAD_MS) };
+                let entry = Entry { sent: now, pending_prefill_ms: ms.clamp(0.0, MAX_PREFILL_MS) };
                 engine.entries.insert(update.call, entry);
             }
             Change::FirstEvent => {
@@ -125,30 +133,30 @@
         }
     }
 
-    /// Snapshot of an engine; `None` before it is complete.
+    /// Snapshot of an engine; `None` during the warm-up, when its calls are not yet all known.
     pub fn snapshot(&mut self, now: Time, engine: Digest) -> Option<Snapshot> {
-        let kept = self.engine(now, engine);
-        kept.entries.retain(|_, entry| now.since(entry.at) < LONGEST);
-        let settled = now.since(kept.since) >= SETTLED;
-        settled.then(|| Snapshot {
+        let owned = self.engine(now, engine);
+        owned.entries.retain(|_, entry| now.since(entry.sent) < CALL_LIFETIME);
+        let complete = now.since(owned.since) >= WARM_UP;
+        complete.then(|| Snapshot {
             engine,
-            calls: kept.entries.len().min(usize::from(u16::MAX)) as u16,
-            pending_prefill_ms: kept.entries.values().map(|e| e.pending_prefill_ms).sum::<f64>()
+            calls: owned.entries.len().min(usize::from(u16::MAX)) as u16,
+            pending_prefill_ms: owned.entries.values().map(|e| e.pending_prefill_ms).sum::<f64>()
                 as f32,
-            interval_ms: kept.interval_ms as f32,
+            interval_ms: owned.interval_ms as f32,
         })
     }
 
-    /// Drops the calls of removed gateways.
-    pub fn retain_gateways(&mut self, mut lives: impl FnMut(u32) -> bool) {
+    /// Drops the calls of gateways that are not alive.
+    pub fn retain_gateways(&mut self, mut is_alive: impl FnMut(u32) -> bool) {
         for engine in self.engines.values_mut() {
-            engine.entries.retain(|call, _| lives((call >> 32) as u32));
+            engine.entries.retain(|call, _| is_alive((call >> 32) as u32));
         }
     }
 
-    /// Drops engines that this gateway no longer owns.
-    pub fn retain_engines(&mut self, mut kept: impl FnMut(Digest) -> bool) {
-        self.engines.retain(|engine, _| kept(*engine));
+    /// Drops the engines that this gateway does not own.
+    pub fn retain_engines(&mut self, mut is_owned: impl FnMut(Digest) -> bool) {
+        self.engines.retain(|engine, _| is_owned(*engine));
     }
 }
 
@@ -157,9 +165,9 @@
         if self.entries.remove(&call).is_none() {
             return;
         }
-        if let Some(before) = self.ended.replace(now) {
-            let ms = now.since(before).as_secs_f64() * 1e3;
-            let ms = ms.clamp(INTERVAL_FROM_MS, INTERVAL_TO_MS);
+        if let Some(previous) = self.last_end.replace(now) {
+            let ms = now.since(previous).as_secs_f64() * 1e3;
+            let ms = ms.clamp(MIN_INTERVAL_MS, MAX_INTERVAL_MS);
             self.interval_ms += INTERVAL_WEIGHT * (ms - self.interval_ms);
         }
     }
--- a/core/src/gateway/plan.rs
+++ b/core/src/gateway/plan.rs
@@ -27,8 +27,8 @@
 /// Half-life of the observations: a burst of a few seconds changes the plan, a single clump of
 /// arrivals does not.
 const HALF_LIFE: Span = Span::secs(5);
-/// Number of begun streams below which observations don't decay, so that a quiet hour erases
-/// nothing.
+/// Number of begun streams at which the counts of a kind stop decaying, so that a quiet hour does
+/// not erase them.
 const MIN_BEGUN: f64 = 100.0;
 /// Expected events of a stream before any was observed.
 const PRIOR_EVENTS: f64 = 30.0;
