--- a/core/src/gateway/gaps.rs
+++ b/core/src/gateway/gaps.rs
@@ -90,12 +90,18 @@
 
     /// Whether streams with this allowed pause and mean number of events are late beside long
     /// prompts. A pause of zero means no limit. `was_late` is the previous result, for hysteresis.
-    pub fn are_late(&self, pause: Span, events: f64, stride: u32, was_late: bool) -> bool {
+    pub fn are_late(
+        &self,
+        pause: Span,
+        events: f64,
+        tokens_per_event: u32,
+        was_late: bool,
+    ) -> bool {
         if pause.0 == 0 {
             return false;
         }
         match self.share_over(pause) {
-            None => pause <= Span::millis(PRIOR_STEP_MS * u64::from(stride.max(1))),
+            None => pause <= Span::millis(PRIOR_STEP_MS * u64::from(tokens_per_event.max(1))),
             Some(share) => {
                 events * share >= if was_late { LATE_GAPS * STILL_LATE_SHARE } else { LATE_GAPS }
             }
