--- a/gateway/src/call.rs
+++ b/gateway/src/call.rs
@@ -1,4 +1,8 @@
-//! One call from its head to the head of its answer.
+//! Serves one call, from its head to the head of its response.
+//!
+//! The gateway admits the call by its head, reads its body, and makes attempts until one succeeds
+//! or no further one is allowed. Every call gets a response, and one that says that the call has
+//! not run is sent only if no attempt can have run it.
 
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -33,23 +37,25 @@
 use crate::relay::Relay;
 use crate::shared::Shared;
 
-/// Replicas that a call may try to reach.
+/// Most replicas that a call may try to connect to.
 pub const MAX_REPLICAS_TRIED: usize = 6;
-/// Time to come back after a refusal that a replica made.
-const AFTER_REFUSAL: Span = Span::millis(150);
-/// Headers that concern one connection only and are not passed back.
-const NOT_BACK: [header::HeaderName; 4] =
+/// Retry-after time in responses to calls that no replica has run.
+const RETRY_AFTER: Span = Span::millis(150);
+/// Response headers that apply to one connection only and are not forwarded.
+const HOP_BY_HOP: [header::HeaderName; 4] =
     [header::CONNECTION, header::TRANSFER_ENCODING, header::UPGRADE, header::TRAILER];
 
-/// Notes how a call ended, once; a caller that leaves drops it unended.
+/// Records the timing and the end of one call in logs and metrics.
+///
+/// Only the first recorded end counts. If the recorder is dropped without one, the caller has left.
 pub struct Recorder {
     shared: Shared,
     arrived: Time,
     id: Bytes,
-    noted: Cell<bool>,
-    first: Cell<Option<Span>>,
-    /// When the newest event came, and the longest time from one to the next.
-    event: Cell<Time>,
+    ended: Cell<bool>,
+    first_event: Cell<Option<Span>>,
+    last_event: Cell<Time>,
+    /// Longest time from one event to the next.
     longest_pause: Cell<Span>,
 }
 
@@ -60,33 +66,33 @@
             shared,
             arrived,
             id,
-            noted: Cell::new(false),
-            first: Cell::new(None),
-            event: Cell::new(arrived),
+            ended: Cell::new(false),
+            first_event: Cell::new(None),
+            last_event: Cell::new(arrived),
             longest_pause: Cell::new(Span(0)),
         }
     }
 
-    /// Notes that the first event goes to the caller.
+    /// Records that the first event, or the complete response, goes to the caller.
     pub fn record_first_event(&self, call: &Call) {
         let took = clock::now().since(self.arrived);
-        self.first.set(Some(took));
+        self.first_event.set(Some(took));
         let organisation = call.grant.organisation.as_deref();
         self.shared.metrics.record_latency(&call.grant.route.name, organisation, took);
     }
 
-    /// Notes that an event came; the time to the first one is no pause.
+    /// Records that an event has arrived; the time to the first one does not count as a pause.
     pub fn record_event(&self) {
         let now = clock::now();
-        let before = self.event.replace(now);
+        let before = self.last_event.replace(now);
         if before > self.arrived {
             self.longest_pause.set(self.longest_pause.get().max(now.since(before)));
         }
     }
 
-    /// Notes the end of an admitted call.
+    /// Records the end of an admitted call.
     pub fn record_end(&self, call: &Call, outcome: &str, status: u16) {
-        if self.noted.replace(true) {
+        if self.ended.replace(true) {
             return;
         }
         let grant = &call.grant;
@@ -100,7 +106,7 @@
             .with("service", &grant.service)
             .with("rank", format_args!("{}.{}", grant.rank.route, grant.rank.organisation))
             .with("attempts", grant.attempts)
-            .with("first_ms", self.first.get().map_or(-1, |f| f.as_millis() as i64))
+            .with("first_ms", self.first_event.get().map_or(-1, |f| f.as_millis() as i64))
             .with("pause_ms", self.longest_pause.get().as_millis())
             .with("version", self.shared.gateway.borrow().version())
             .with("proof_age_ms", proof.map_or(-1, |p| p.as_millis() as i64));
@@ -110,9 +116,9 @@
         });
     }
 
-    /// Notes the end of a call that was not admitted.
+    /// Records the end of a call that was not admitted.
     fn record_refusal(&self, reason: &str, status: StatusCode) {
-        if self.noted.replace(true) {
+        if self.ended.replace(true) {
             return;
         }
         let labels = format!("reason=\"{reason}\"");
@@ -136,7 +142,7 @@
     }
 }
 
-/// The line with what decided the last choice of a replica.
+/// Adds to the line what the last choice of a replica was based on.
 fn with_choice(line: Line, pick: &Pick) -> Line {
     let claim = &pick.claim;
     line.with("replica", &pick.id)
@@ -155,7 +161,7 @@
 impl Drop for Recorder {
     fn drop(&mut self) {
         self.shared.calls.set(self.shared.calls.get() - 1);
-        if !self.noted.get() {
+        if !self.ended.get() {
             self.shared.metrics.count("calls_total", "outcome=\"caller_left\"".to_owned());
             let line = self.line("caller_left", 0);
             self.shared.log(line);
@@ -163,16 +169,16 @@
     }
 }
 
-/// Answers one call.
+/// Serves one call.
 ///
 /// # Errors
 ///
-/// None; every call gets an answer.
+/// Never fails; every call gets a response.
 pub async fn serve(
     shared: Shared,
     request: Request<Incoming>,
 ) -> Result<Response<Payload>, Infallible> {
-    let mut response = answer(&shared, request).await;
+    let mut response = respond(&shared, request).await;
     if shared.gateway.borrow().is_stopping() {
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(header::CONNECTION, close);
@@ -180,22 +186,22 @@
     Ok(response)
 }
 
-async fn answer(shared: &Shared, request: Request<Incoming>) -> Response<Payload> {
+async fn respond(shared: &Shared, request: Request<Incoming>) -> Response<Payload> {
     let arrived = clock::now();
     let (head, body) = request.into_parts();
     let ask = match (shared.dialect.parse_call)(&head) {
         Ok(ask) => ask,
-        Err(e) => return plain(StatusCode::BAD_REQUEST, &e.to_string()),
+        Err(e) => return text_response(StatusCode::BAD_REQUEST, &e.to_string()),
     };
     let recorder = Recorder::new(shared.clone(), ask.id.clone(), arrived);
     let admitted = shared.gateway.borrow_mut().admit(arrived, &ask);
     let limits = shared.gateway.borrow().config().map_or_else(Limits::default, |c| c.limits);
-    // The body is read in any case, so that the connection can go on.
-    let body = match read(body, &limits).await {
+    // The body of a refused call is read too, so that the connection stays usable.
+    let body = match read_body(body, &limits).await {
         Ok(body) => body,
         Err(status) => {
             recorder.record_refusal("body", status);
-            return own(shared, &ask.id, status, None);
+            return gateway_response(shared, &ask.id, status, None);
         }
     };
     let mut grant = match admitted {
@@ -227,14 +233,14 @@
     run(call, recorder).await
 }
 
-/// Makes attempts until one brings an answer, or no further one is allowed.
+/// Makes attempts until one succeeds or no further one is allowed.
 async fn run(mut call: Call, mut recorder: Recorder) -> Response<Payload> {
     loop {
         let failure = match call.attempt(None).await {
             Ok(exchange) if call.grant.route.streams => match Relay::open(call, exchange, recorder)
                 .await
             {
-                Ok((head, relay)) => return answered(head, Payload::stream(relay.into_stream())),
+                Ok((head, relay)) => return forward(head, Payload::stream(relay.into_stream())),
                 Err((back, e, failure)) => {
                     call = back;
                     recorder = e;
@@ -244,26 +250,26 @@
             Ok(exchange) => {
                 let sent = exchange.in_flight.claim.sent;
                 match call.collect(exchange, Outcome::Answered).await {
-                    Ok(whole) => {
+                    Ok(collected) => {
                         call.meter(sent);
                         recorder.record_first_event(&call);
-                        recorder.record_end(&call, "answered", whole.head.status.as_u16());
-                        return answered(whole.head, Payload::full(whole.body));
+                        recorder.record_end(&call, "answered", collected.head.status.as_u16());
+                        return forward(collected.head, Payload::full(collected.body));
                     }
                     Err(failure) => failure,
                 }
             }
             Err(failure) => failure,
         };
-        if !goes_on(&call, &failure) {
-            return end(&call, &recorder, failure);
+        if !allows_retry(&call, &failure) {
+            return final_response(&call, &recorder, failure);
         }
     }
 }
 
-/// Whether a further attempt is allowed, by the call's kind, its attempts, the time that is left
-/// and the budget.
-fn goes_on(call: &Call, failure: &Failure) -> bool {
+/// Whether another attempt is allowed by the route, the attempts made, the deadline and the retry
+/// budget. Charges the budget for it.
+fn allows_retry(call: &Call, failure: &Failure) -> bool {
     let Failure::Fault(fault, _) = failure else {
         return false;
     };
@@ -275,7 +281,7 @@
     match fault {
         Fault::Unreachable => call.grant.tried.len() < MAX_REPLICAS_TRIED,
         Fault::Silent => true,
-        // Nothing ran, but the replica was sent the call: it counts as one of its attempts.
+        // The call did not run, but it was sent, so this counts as one of its attempts.
         Fault::Refused | Fault::Replaced => {
             call.grant.attempts < call.grant.route.attempts
                 && call.shared.gateway.borrow_mut().spend_retry(now, &call.grant.service)
@@ -287,35 +293,33 @@
     }
 }
 
-/// The last answer of a call that got none of a replica.
+/// Builds the response to a call whose attempts have all failed.
 ///
-/// That it has not run is only said if no attempt can have run it.
-fn end(call: &Call, recorder: &Recorder, failure: Failure) -> Response<Payload> {
+/// It says that the call has not run only if no attempt can have run it.
+fn final_response(call: &Call, recorder: &Recorder, failure: Failure) -> Response<Payload> {
     let refusal = match failure {
-        Failure::Fault(Fault::Status, Some(whole)) => {
-            recorder.record_end(call, "replica_failed", whole.head.status.as_u16());
-            return answered(whole.head, Payload::full(whole.body));
+        Failure::Fault(Fault::Status, Some(collected)) => {
+            recorder.record_end(call, "replica_failed", collected.head.status.as_u16());
+            return forward(collected.head, Payload::full(collected.body));
         }
         Failure::Fault(fault, _) if call.may_have_run => Refusal::unknown(match fault {
             Fault::TimedOut => Reason::TimedOut,
             Fault::Stopped => Reason::Stopping,
             _ => Reason::ReplicaFailed,
         }),
-        Failure::Fault(Fault::Refused, _) => {
-            Refusal::not_run(Reason::ReplicaRefused, AFTER_REFUSAL)
-        }
-        Failure::Fault(Fault::TimedOut, _) => Refusal::not_run(Reason::TimedOut, AFTER_REFUSAL),
-        Failure::Fault(_, _) => Refusal::not_run(Reason::NoReplica, AFTER_REFUSAL),
+        Failure::Fault(Fault::Refused, _) => Refusal::not_run(Reason::ReplicaRefused, RETRY_AFTER),
+        Failure::Fault(Fault::TimedOut, _) => Refusal::not_run(Reason::TimedOut, RETRY_AFTER),
+        Failure::Fault(_, _) => Refusal::not_run(Reason::NoReplica, RETRY_AFTER),
         Failure::Denied(refusal) if call.may_have_run => Refusal::unknown(refusal.reason),
         Failure::Denied(refusal) => refusal,
     };
-    finish(call, recorder, &refusal)
+    refuse_admitted(call, recorder, &refusal)
 }
 
-fn finish(call: &Call, recorder: &Recorder, refusal: &Refusal) -> Response<Payload> {
+fn refuse_admitted(call: &Call, recorder: &Recorder, refusal: &Refusal) -> Response<Payload> {
     let outcome = refusal.reason.to_string();
     recorder.record_end(call, &outcome, status(refusal).as_u16());
-    own(&call.shared, &call.ask.id, status(refusal), Some(refusal))
+    gateway_response(&call.shared, &call.ask.id, status(refusal), Some(refusal))
 }
 
 fn refuse(
@@ -325,7 +329,7 @@
     refusal: &Refusal,
 ) -> Response<Payload> {
     recorder.record_refusal(&refusal.reason.to_string(), status(refusal));
-    own(shared, id, status(refusal), Some(refusal))
+    gateway_response(shared, id, status(refusal), Some(refusal))
 }
 
 fn status(refusal: &Refusal) -> StatusCode {
@@ -343,15 +347,15 @@
     HeaderValue::from_str(&text).unwrap_or(HeaderValue::from_static("1"))
 }
 
-/// An answer of the gateway's own.
-fn own(
+/// Builds a response of the gateway itself.
+fn gateway_response(
     shared: &Shared,
     id: &Bytes,
     status: StatusCode,
     refusal: Option<&Refusal>,
 ) -> Response<Payload> {
     let reason = refusal.map_or_else(|| status.to_string(), |r| r.reason.to_string());
-    let mut response = plain(status, &reason);
+    let mut response = text_response(status, &reason);
     (shared.dialect.set_request_id)(response.headers_mut(), id);
     if let Some(refusal) = refusal
         && status == StatusCode::SERVICE_UNAVAILABLE
@@ -361,7 +365,7 @@
     response
 }
 
-fn plain(status: StatusCode, text: &str) -> Response<Payload> {
+fn text_response(status: StatusCode, text: &str) -> Response<Payload> {
     let mut response = Response::new(Payload::full(format!("{text}\n")));
     *response.status_mut() = status;
     let kind = HeaderValue::from_static("text/plain");
@@ -369,10 +373,11 @@
     response
 }
 
-/// A replica's answer with its status, headers and body unchanged.
-fn answered(head: hyper::http::response::Parts, body: Payload) -> Response<Payload> {
+/// Builds the response to the caller from a replica's, whose status, end-to-end headers and body
+/// are unchanged.
+fn forward(head: hyper::http::response::Parts, body: Payload) -> Response<Payload> {
     let mut headers: HeaderMap = head.headers;
-    for name in NOT_BACK {
+    for name in HOP_BY_HOP {
         headers.remove(name);
     }
     headers.remove("keep-alive");
@@ -385,8 +390,8 @@
     response
 }
 
-/// Reads a caller's body within its bounds.
-async fn read(body: Incoming, limits: &Limits) -> Result<Bytes, StatusCode> {
+/// Reads a caller's body within the limits on its size and time.
+async fn read_body(body: Incoming, limits: &Limits) -> Result<Bytes, StatusCode> {
     let collected = Limited::new(body, limits.body).collect();
     match tokio::time::timeout(clock::duration(limits.head_time), collected).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
--- a/gateway/src/relay.rs
+++ b/gateway/src/relay.rs
@@ -1,4 +1,8 @@
-//! Relaying a stream of events, going on at another replica where one breaks off.
+//! Relays a stream of events, and resumes it at another replica if one breaks off.
+//!
+//! Only whole events are passed on, so a stream resumes after the last whole event. The attempt
+//! before is cancelled first, so that no two replicas work on one stream. A stream that can't be
+//! resumed is aborted, so that the caller does not take it for complete.
 
 use bytes::Bytes;
 use futures_util::Stream;
@@ -22,7 +26,8 @@
     call: Call,
     exchange: Option<Exchange>,
     splitter: Splitter,
-    ready: Option<Bytes>,
+    /// The first events, read before the stream was passed to the caller.
+    first: Option<Bytes>,
     recorder: Recorder,
 }
 
@@ -32,12 +37,12 @@
 }
 
 impl Relay {
-    /// Waits for the first whole event, so that an attempt that breaks before it can be repeated
-    /// with a head of its own.
+    /// Waits for the first whole event, so that an attempt that breaks off before it can be
+    /// repeated and the caller gets the head of the next one.
     ///
     /// # Errors
     ///
-    /// The call, and why there is no event.
+    /// Returns the call and its recorder, with the reason why there is no event.
     pub async fn open(
         mut call: Call,
         exchange: Exchange,
@@ -50,15 +55,16 @@
             Ok(Step::Events(events)) => {
                 recorder.record_event();
                 call.responding = true;
-                let ready = Some(events);
-                Ok((head, Relay { call, exchange, splitter, ready, recorder }))
+                let first = Some(events);
+                Ok((head, Relay { call, exchange, splitter, first, recorder }))
             }
-            Ok(Step::End) => Ok((head, Relay { call, exchange, splitter, ready: None, recorder })),
+            Ok(Step::End) => Ok((head, Relay { call, exchange, splitter, first: None, recorder })),
             Err(failure) => Err((call, recorder, failure)),
         }
     }
 
-    /// The events as they come; pulled only as fast as the caller reads.
+    /// Returns the events as they arrive. They are read from the replica only as fast as the caller
+    /// reads them.
     pub fn into_stream(self) -> impl Stream<Item = Result<Bytes, Aborted>> {
         stream::unfold(Some(self), |relay| async {
             let mut relay = relay?;
@@ -71,7 +77,7 @@
     }
 
     async fn next(&mut self) -> Result<Option<Bytes>, Aborted> {
-        if let Some(events) = self.ready.take() {
+        if let Some(events) = self.first.take() {
             self.recorder.record_first_event(&self.call);
             return Ok(Some(events));
         }
@@ -91,10 +97,10 @@
         }
     }
 
-    /// Goes on behind the last whole event at another replica.
+    /// Resumes the stream at another replica, after the last whole event.
     ///
-    /// The attempt before has been cancelled by closing its connection, so that never two runs of
-    /// one stream are at work.
+    /// The failed attempt is cancelled by closing its connection first, so that no two replicas
+    /// work on one stream.
     async fn resume(&mut self, mut failure: Failure) -> Result<(), Aborted> {
         self.exchange = None;
         self.splitter.discard_pending();
@@ -131,9 +137,9 @@
         if *fault == Fault::Unreachable {
             return grant.route.idempotent && grant.tried.len() < crate::call::MAX_REPLICAS_TRIED;
         }
-        let paid = *fault == Fault::Silent;
+        let charged = *fault == Fault::Silent;
         self.call.may_retry()
-            && (paid
+            && (charged
                 || self.call.shared.gateway.borrow_mut().spend_retry(clock::now(), &grant.service))
     }
 }
@@ -144,45 +150,45 @@
     }
 }
 
-/// Reads on until at least one whole event is there, or the stream has ended.
+/// Reads until at least one whole event has arrived or the stream has ended.
 async fn step(
     call: &mut Call,
     exchange: &mut Option<Exchange>,
     splitter: &mut Splitter,
 ) -> Result<Step, Failure> {
     loop {
-        let Some(b) = exchange.as_mut() else {
+        let Some(open) = exchange.as_mut() else {
             return Ok(Step::End);
         };
-        let frame = match call.wait_for(&b.in_flight, b.body.frame()).await {
+        let frame = match call.wait_for(&open.in_flight, open.body.frame()).await {
             Ok(frame) => frame,
-            Err(fault) => return Err(call.fail(&b.in_flight, &b.replica, fault)),
+            Err(fault) => return Err(call.fail(&open.in_flight, &open.replica, fault)),
         };
         match frame {
             Some(Ok(frame)) => {
                 let Ok(data) = frame.into_data() else {
                     continue;
                 };
-                b.in_flight.record_activity(None);
+                open.in_flight.record_activity(None);
                 match splitter.push(&data) {
                     Ok(events) if events.is_empty() => {}
                     Ok(events) => {
-                        b.in_flight.record_event();
+                        open.in_flight.record_event();
                         call.meter(clock::now());
                         return Ok(Step::Events(events));
                     }
-                    Err(_) => return Err(call.fail(&b.in_flight, &b.replica, Fault::Broken)),
+                    Err(_) => return Err(call.fail(&open.in_flight, &open.replica, Fault::Broken)),
                 }
             }
-            Some(Err(_)) => return Err(call.fail(&b.in_flight, &b.replica, Fault::Broken)),
-            // An end in the middle of an event is none.
+            Some(Err(_)) => return Err(call.fail(&open.in_flight, &open.replica, Fault::Broken)),
+            // A stream that ends in the middle of an event is broken.
             None if splitter.pending_len() > 0 => {
-                return Err(call.fail(&b.in_flight, &b.replica, Fault::Broken));
+                return Err(call.fail(&open.in_flight, &open.replica, Fault::Broken));
             }
             None => {
                 call.record_completion();
-                if let Some(b) = exchange.take() {
-                    b.finish(Outcome::Answered);
+                if let Some(open) = exchange.take() {
+                    open.finish(Outcome::Answered);
                 }
                 return Ok(Step::End);
             }
