--- a/gateway/src/store.rs
+++ b/gateway/src/store.rs
@@ -1,4 +1,9 @@
-//! What the gateway asks of the store that keeps configuration and lists.
+//! Keeps up with the store, which holds the configuration and the lists of replicas and gateways.
+//!
+//! A platform implements the calls of [`Store`]. A few gateways, the readers, read the store; the
+//! others ask a reader for a proof that nothing has changed, and fetch the differences if something
+//! has. A view is taken only if it is not older than the last one, so that a reader that lags can't
+//! bring back a replica that has left.
 
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -37,59 +42,61 @@
 
 pub use laburnumwheel_core::gateway::view::View;
 
-/// Time from one read to the next, and from one question to the next: both, and a lost answer, fit
-/// into two seconds, the shortest bound on taking up a change.
-const PERIOD: Duration = Duration::from_millis(550);
-const ASKING: Duration = Duration::from_millis(550);
-/// Readers that are asked before the store is read after all.
-const READERS_ASKED: usize = 2;
-/// An older proof of a reader is none: it has lost the store itself.
-const OLDEST: Span = Span::millis(1_000);
-/// Time to the next try after a failed one; calls that are refused cost as much as others.
-const AGAIN: Duration = Duration::from_millis(300);
-/// Longest wait for one call: many times the usual few milliseconds.
+/// Time from one read of the store to the next, and from one proof request to the next: both
+/// together with a lost answer stay below two seconds, the shortest allowed time for a change to
+/// take effect.
+const READ_INTERVAL: Duration = Duration::from_millis(550);
+const PROOF_INTERVAL: Duration = Duration::from_millis(550);
+/// Readers that are asked before the gateway reads the store itself.
+const MAX_READERS_ASKED: usize = 2;
+/// Age above which a reader's proof is ignored: that reader has lost the store itself.
+const MAX_PROOF_AGE: Span = Span::millis(1_000);
+/// Time to the next try after a failed call; the store charges for refused calls too.
+const RETRY_INTERVAL: Duration = Duration::from_millis(300);
+/// Timeout of one call: many times the usual few milliseconds.
 pub(crate) const CALL_TIMEOUT: Duration = Duration::from_millis(900);
-/// Longest wait for a whole read, which may take many calls, and for a whole view on a narrow link:
-/// its proof ages from its beginning, and an older one would not be worth having.
+/// Timeout of a complete read, which may take many calls, and of a complete view over a slow link.
+/// Its proof of freshness ages from the start of the read, so after a longer time it would be
+/// useless.
 pub(crate) const READ_TIMEOUT: Duration = Duration::from_millis(3_500);
-/// Largest answer that is read, in bytes: several times a view of 10,000 replicas and as many routes
-/// and organisations, and a fifth of a small host's memory.
-const LARGEST: usize = 16 << 20;
-/// Views that a reader remembers, to say what has changed since: those of four seconds if each read
-/// finds a change, and more than any gateway lags behind that has its proofs from there.
-const REMEMBERED: usize = 8;
-/// Life of the gateway's entry without renewal. The entry only introduces the gateway to others; whether
-/// it lives they know from heartbeats. With 4 s and a renewal every 1.3 s, renewals were a third of all
-/// calls of 295 gateways; with twice this, the store lists those that are gone for 20 s.
+/// Largest response that is read, in bytes: several times a view of 10,000 replicas and as many
+/// routes and organisations, and a fifth of a small host's memory.
+const MAX_RESPONSE_BYTES: usize = 16 << 20;
+/// Past views that a reader keeps as bases of differences: those of four seconds if each read finds
+/// a change, which is more than a gateway lags behind the reader that it asks.
+const VIEWS_KEPT: usize = 8;
+/// Lifetime of the gateway's entry without renewal. The entry only makes the gateway known to
+/// others; heartbeats show whether it is alive. With 4 s and a renewal every 1.3 s, renewals were a
+/// third of all calls of 295 gateways; with 20 s, the store would list crashed gateways for 20 s.
 const LEASE: Duration = Duration::from_secs(10);
-/// Time from one renewal to the next, so that two may be lost.
-const RENEWAL: Duration = Duration::from_millis(3_300);
-/// After a return of the store all entries are written again within this time: 440 gateways make two
-/// calls each, some 590 a second in all.
-const ANNOUNCING: Duration = Duration::from_millis(1_500);
-/// Time from one read to the next while the store holds no configuration: all gateways of a new fleet
-/// read then, as none can tell the others anything.
-const WAITING: Duration = Duration::from_millis(1_100);
+/// Time from one renewal to the next, so that two may be lost before the lease ends.
+const RENEWAL_INTERVAL: Duration = Duration::from_millis(3_300);
+/// Time over which gateways spread the announcement of their entries after a return of the store to
+/// an older copy: 440 gateways make two calls each, some 590 a second in all.
+const ANNOUNCE_SPREAD: Duration = Duration::from_millis(1_500);
+/// Time from one read to the next while the store holds no configuration: all gateways of a new
+/// fleet read then, as no reader can give proofs yet.
+const STARTUP_READ_INTERVAL: Duration = Duration::from_millis(1_100);
 
-/// What a read of the store found.
+/// Result of one read of the store.
 #[derive(Clone, Debug, Default)]
 pub struct Reading {
-    /// Everything that could be used.
+    /// The entries that could be decoded.
     pub view: View,
     /// Stored records of the quarantine.
     pub fingerprints: quarantine::Entry,
     /// Revision of the leader's record, if there is one.
     pub leader: Option<u64>,
-    /// Bounds and prices of the replicas that may be ordered, by service.
+    /// Limits and prices of the replicas that may be ordered, by service.
     pub scaling: Arc<BTreeMap<String, Scaling>>,
     /// Replicas, by service and failure domain.
     pub capacities: BTreeMap<String, Capacities>,
-    /// Malformed entries. Only readers of the store log them; they are not passed on to peers.
+    /// Malformed entries, which readers log and don't pass on to peers.
     pub flaws: Vec<Flaw>,
 }
 
 impl Reading {
-    /// Whether the configuration that the store holds could be read, or there is none.
+    /// Whether the stored configuration could be decoded, or there is none.
     fn has_readable_config(&self) -> bool {
         self.flaws.iter().all(|f| f.subject != Subject::Configuration)
     }
@@ -98,23 +105,23 @@
 /// Why a call of the store failed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// No connection, or it broke.
+    /// No connection could be made, or it broke.
     #[error("unreachable: {0}")]
     Unreachable(String),
-    /// No answer in time; what was asked may have been done.
+    /// No response in time; the store may have carried out the call.
     #[error("no answer")]
     TimedOut,
-    /// The store refused.
+    /// The store responded with an error status.
     #[error("refused with status {0}")]
     Refused(u16),
-    /// The answer is of a life of the store that is over.
-    #[error("of an earlier era")]
+    /// The response comes from an era of the store that has ended.
+    #[error("response of an earlier era")]
     Outdated,
-    /// The lease has ended.
+    /// The lease has ended, or the entry that was asked for does not exist.
     #[error("the lease has ended")]
     NotFound,
-    /// The answer can't be understood.
-    #[error("answer not understood: {0}")]
+    /// The response could not be decoded.
+    #[error("malformed response: {0}")]
     Malformed(String),
 }
 
@@ -123,39 +130,41 @@
 
 /// The store's calls, as one platform makes them.
 pub struct Store {
-    /// Which life of the store answers.
+    /// Eras that the store's responses have stated.
     pub eras: Eras,
-    /// Reads everything, as of a moment after the call; bounds each call that it makes for it.
+    /// Reads everything, in a state no older than the start of the call; limits the time of each
+    /// request that this takes.
     pub read: Box<dyn FnMut() -> Reply<Reading>>,
-    /// Writes the gateway's entry under a new lease of this length; returns the lease.
+    /// Writes the gateway's entry under a new lease of this length; returns the id of the lease.
     pub announce: Box<dyn FnMut(Entry, Duration) -> Reply<u64>>,
-    /// Replaces the records of the quarantine that were read with this revision.
+    /// Replaces the stored records of the quarantine if their revision is still this one.
     pub write_quarantine: Box<dyn FnMut(Vec<quarantine::Record>, u64) -> Reply<()>>,
     /// Renews a lease.
     pub renew: Box<dyn FnMut(u64) -> Reply<()>>,
-    /// Ends a lease, and the entry with it.
+    /// Ends a lease, which deletes the entry.
     pub withdraw: Box<dyn FnMut(u64) -> Reply<()>>,
 }
 
-/// Waits for one call of the store for as long as an answer may take.
+/// Waits for one call of the store for at most [`CALL_TIMEOUT`].
 ///
 /// # Errors
 ///
-/// [`Error::TimedOut`] if it takes longer, or the call's own.
+/// Returns [`Error::TimedOut`] if it takes longer, or the call's own error.
 pub async fn with_timeout<T>(call: impl Future<Output = Result<T, Error>>) -> Result<T, Error> {
     tokio::time::timeout(CALL_TIMEOUT, call).await.unwrap_or(Err(Error::TimedOut))
 }
 
-/// Reads the body of an answer, of which each part must come within the time that one call may take.
+/// Reads the body of a response, with [`CALL_TIMEOUT`] for each part of it.
 ///
-/// Bounded as a whole, a long answer over a narrow link was taken for a store that does not answer,
-/// at every gateway and for as long as the answer stayed long.
+/// With one timeout for the whole body, a large response over a slow link looked like a store that
+/// does not respond, at every gateway and as long as the response stayed large.
 ///
 /// # Errors
 ///
-/// [`Error::TimedOut`] if nothing more comes, or that the answer broke off or is too large.
+/// Returns [`Error::TimedOut`] if no further part arrives, or [`Error::Unreachable`] if the body
+/// breaks off or is too large.
 pub async fn collect(body: Incoming) -> Result<Bytes, Error> {
-    let mut body = Limited::new(body, LARGEST);
+    let mut body = Limited::new(body, MAX_RESPONSE_BYTES);
     let mut bytes = BytesMut::new();
     loop {
         let frame = with_timeout(async { Ok(body.frame().await) }).await?;
@@ -167,82 +176,83 @@
     }
 }
 
-/// What following the store takes.
+/// The calls of a [`Store`] that [`follow`] makes.
 pub struct Follower {
-    /// Which life of the store answers.
+    /// Eras that the store's responses have stated.
     pub eras: Eras,
-    /// Reads everything.
+    /// Same as [`Store::read`].
     pub read: Box<dyn FnMut() -> Reply<Reading>>,
-    /// Writes the records of the quarantine.
+    /// Same as [`Store::write_quarantine`].
     pub write_quarantine: Box<dyn FnMut(Vec<quarantine::Record>, u64) -> Reply<()>>,
 }
 
-/// Reads everything within the time that a whole read may take.
+/// Reads everything within [`READ_TIMEOUT`].
 ///
-/// A read in which the store came back from an older copy is part of one life and part of another, so
-/// it is none.
-async fn read_whole(follower: &mut Follower) -> Result<Reading, Error> {
+/// A read during which the store returned to an older copy mixes two eras, so it is discarded.
+async fn read_all(follower: &mut Follower) -> Result<Reading, Error> {
     let era = follower.eras.newest();
-    let whole = tokio::time::timeout(READ_TIMEOUT, (follower.read)()).await;
-    let reading = whole.unwrap_or(Err(Error::TimedOut))?;
+    let result = tokio::time::timeout(READ_TIMEOUT, (follower.read)()).await;
+    let reading = result.unwrap_or(Err(Error::TimedOut))?;
     if era.is_some() && follower.eras.newest() != era {
         return Err(Error::Outdated);
     }
     Ok(reading)
 }
 
-/// Keeps up with the store for ever: a reader by reading, any other gateway by asking a reader.
+/// Keeps up with the store forever: a reader by reading it, any other gateway by asking a reader.
 pub async fn follow(shared: Shared, mut follower: Follower) {
-    let mut sound = true;
+    let mut reachable = true;
     loop {
         let (readers, is_reader) = shared.gateway.borrow().readers(clock::now());
-        if !is_reader && asked(&shared, &readers).await {
-            tokio::time::sleep(jittered(&shared, ASKING)).await;
+        if !is_reader && ask_readers(&shared, &readers).await {
+            tokio::time::sleep(jittered(&shared, PROOF_INTERVAL)).await;
             continue;
         }
         let sent = clock::now();
-        let result = read_whole(&mut follower).await;
+        let result = read_all(&mut follower).await;
         era::log_oddities(&shared, &follower.eras);
         shared.metrics.store_call("read", result.is_ok());
         match result {
             Ok(reading) => {
-                if !sound {
+                if !reachable {
                     shared.log(Line::new("store_regained"));
                 }
-                sound = true;
-                let stored = take_reading(&shared, sent, reading);
-                // The readers write for all: a few, so that a fleet does not write the same at once.
+                reachable = true;
+                let stored = apply_reading(&shared, sent, reading);
+                // Only the readers write, so that a whole fleet does not write the same records at
+                // once.
                 if is_reader {
                     quarantine::persist(&shared, &stored, &mut follower.write_quarantine).await;
                 }
-                let waits = shared.gateway.borrow().version() == 0;
-                let pause = if waits { WAITING } else { PERIOD };
+                let unconfigured = shared.gateway.borrow().version() == 0;
+                let pause = if unconfigured { STARTUP_READ_INTERVAL } else { READ_INTERVAL };
                 tokio::time::sleep(jittered(&shared, pause)).await;
             }
             Err(e) => {
-                if sound {
+                if reachable {
                     let age = shared.gateway.borrow().proof_age(clock::now());
                     let line = Line::new("store_lost").with("error", &e);
                     shared.log(line.with("proof_age_ms", age.map_or(-1, |a| a.as_millis() as i64)));
                 }
-                sound = false;
-                // The store may turn this gateway away alone. Its peers still take it for a reader,
-                // so it goes on trying, and lives by what another reader knows: otherwise its proof
-                // would age out, and it would refuse its callers while the others serve theirs.
-                let followed = is_reader && asked(&shared, &readers).await;
-                let pause = if followed { ASKING } else { AGAIN };
+                reachable = false;
+                // The store may refuse this gateway alone. Its peers still count it as a reader, so
+                // it keeps trying, and meanwhile follows another reader: otherwise its proof would
+                // expire, and it would refuse its callers while the others serve theirs.
+                let followed = is_reader && ask_readers(&shared, &readers).await;
+                let pause = if followed { PROOF_INTERVAL } else { RETRY_INTERVAL };
                 tokio::time::sleep(jittered(&shared, pause)).await;
             }
         }
     }
 }
 
-/// The readers in the order in which this gateway asks them: always the same one first, as long as it
-/// lives, and the others at random.
+/// Returns the readers in the order in which this gateway asks them: the same one first as long as
+/// it is alive, then the others at random.
 ///
-/// Readers read at different moments, so when much changes each sees states that others do not. One
-/// that does not know the asker's state can't say what has changed since, and hands on whole lists.
-fn order(shared: &Shared, readers: &[String]) -> Vec<String> {
+/// Readers read at different moments, so during frequent changes each sees states that others do
+/// not. A reader that does not know the state of the gateway that asks can't compute the
+/// difference, and sends whole lists.
+fn shuffled_readers(shared: &Shared, readers: &[String]) -> Vec<String> {
     let own = rendezvous::hash(&[shared.gateway.borrow().name().as_bytes()]);
     let score = |reader: &String| rendezvous::score(own, rendezvous::hash(&[reader.as_bytes()]));
     let mut readers = readers.to_vec();
@@ -253,11 +263,11 @@
     readers
 }
 
-/// Asks readers whether anything has changed, and takes over what has.
+/// Asks readers whether anything has changed, and fetches the changes.
 ///
-/// `false` if none of them could say: then the store must be read after all.
-async fn asked(shared: &Shared, readers: &[String]) -> bool {
-    for reader in order(shared, readers).iter().take(READERS_ASKED) {
+/// Returns `false` if none of them gave a fresh proof; then the gateway must read the store itself.
+async fn ask_readers(shared: &Shared, readers: &[String]) -> bool {
+    for reader in shuffled_readers(shared, readers).iter().take(MAX_READERS_ASKED) {
         let Ok(address) = reader.parse() else {
             continue;
         };
@@ -266,7 +276,7 @@
             shared.metrics.count("questions_total", "outcome=\"unanswered\"".to_owned());
             continue;
         };
-        if proof.age_us > OLDEST.0 {
+        if proof.age_us > MAX_PROOF_AGE.0 {
             shared.metrics.count("questions_total", "outcome=\"too_old\"".to_owned());
             continue;
         }
@@ -283,8 +293,8 @@
         let outcome = if fetched.is_ok() { "fetched" } else { "not_fetched" };
         shared.metrics.count("questions_total", format!("outcome=\"{outcome}\""));
         match fetched {
-            Ok((sent, known)) => {
-                take(shared, sent, known, Source::Peer, true);
+            Ok((sent, snapshot)) => {
+                apply(shared, sent, snapshot, Source::Peer, true);
                 return true;
             }
             Err(e) => {
@@ -296,7 +306,7 @@
     false
 }
 
-/// Where a view was taken from.
+/// Where a view comes from; logged in lower case.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, derive_more::Display)]
 #[display(rename_all = "snake_case")]
 enum Source {
@@ -304,13 +314,14 @@
     Peer,
 }
 
-/// Replicas of services that the configuration doesn't name; no call goes there.
-fn of_unknown_services(view: &View) -> Vec<Flaw> {
+/// Returns a flaw for each replica of a service that the configuration doesn't name. Such replicas
+/// get no calls.
+fn unknown_services(view: &View) -> Vec<Flaw> {
     let Some(config) = &view.config else {
         return Vec::new();
     };
-    let strays = view.replicas.iter().filter(|listing| !listing.is_unreadable());
-    strays
+    let readable = view.replicas.iter().filter(|listing| !listing.is_unreadable());
+    readable
         .filter(|listing| config.service(&listing.service).is_none())
         .map(|listing| Flaw {
             subject: Subject::Replica,
@@ -320,34 +331,36 @@
         .collect()
 }
 
-/// Takes in what a read of the store found; returns what it holds of fingerprints.
-fn take_reading(shared: &Shared, sent: Time, mut reading: Reading) -> quarantine::Entry {
+/// Applies the result of a read of the store; returns the stored records of the quarantine.
+fn apply_reading(shared: &Shared, sent: Time, mut reading: Reading) -> quarantine::Entry {
     if let Some(duties) = &shared.duties {
         duties.observe(sent, reading.leader);
         let scaling = Arc::clone(&reading.scaling);
         let capacities = std::mem::take(&mut reading.capacities);
         duties.set_inventory(duty::Inventory { at: sent, scaling, capacities });
     }
-    // First of all, so that a gateway which has just started knows them when it serves.
+    // The quarantine is restored first, so that a gateway that has just started enforces it from
+    // its first call on.
     quarantine::restore(shared, &reading.fingerprints);
-    reading.view.replicas = shared.gateway.borrow().reconcile(sent, reading.view.replicas);
-    // A version that can't be read may be the one that takes a key away. The last one that could
-    // be read stays in force, and its proof of freshness ages as if the store were out of reach:
-    // no key is honoured for longer than the bound on revocation.
+    reading.view.replicas = shared.gateway.borrow().amend(sent, reading.view.replicas);
+    // A configuration that can't be decoded may be the one that revokes a key. The last readable
+    // one stays in force, and its proof of freshness ages as during an outage of the store, so that
+    // no key is accepted for longer than the limit on revocation.
     let readable = reading.has_readable_config();
     if !readable {
         reading.view.config = shared.gateway.borrow().config().cloned();
     }
-    reading.flaws.extend(of_unknown_services(&reading.view));
+    reading.flaws.extend(unknown_services(&reading.view));
     flaw::log_changes(shared, &shared.flaws, &reading.flaws);
-    let known = Snapshot::new(reading.view, shared.views.borrow().newest());
-    take(shared, sent, known, Source::Store, readable);
+    let snapshot = Snapshot::new(reading.view, shared.views.borrow().newest());
+    apply(shared, sent, snapshot, Source::Store, readable);
     reading.fingerprints
 }
 
-/// Takes a view in; `proves` if it shows which configuration is the newest.
-fn take(shared: &Shared, sent: Time, known: Snapshot, from: Source, proves: bool) {
-    // A reader that lags must not bring a replica back that is known to have left.
+/// Applies a snapshot of the store. `proves` says whether it shows which configuration is the
+/// newest.
+fn apply(shared: &Shared, sent: Time, snapshot: Snapshot, from: Source, proves: bool) {
+    // A snapshot from a reader that lags must not bring back a replica that has left.
     if shared.gateway.borrow().proved_at().is_some_and(|proved| sent < proved) {
         shared.metrics.count("views_total", format!("from=\"{from}\",taken=\"too_old\""));
         return;
@@ -356,15 +369,19 @@
     let now = clock::now();
     let mut gateway = shared.gateway.borrow_mut();
     let before = gateway.version();
-    let newer = proves && gateway.record_read(sent, known.view.config.clone());
-    let changes =
-        gateway.update_lists(sent, now, known.view.replicas.clone(), known.view.gateways.clone());
+    let newer = proves && gateway.record_read(sent, snapshot.view.config.clone());
+    let changes = gateway.update_lists(
+        sent,
+        now,
+        snapshot.view.replicas.clone(),
+        snapshot.view.gateways.clone(),
+    );
     let version = gateway.version();
     shared.pool.retain(|replica| gateway.fleet().get(replica).is_some());
-    // Peers seldom ask a gateway that does not read the store, and views take memory.
-    let remembered = if gateway.readers(now).1 { REMEMBERED } else { 1 };
+    // Views take memory, and peers seldom ask a gateway that is not a reader.
+    let views_kept = if gateway.readers(now).1 { VIEWS_KEPT } else { 1 };
     drop(gateway);
-    shared.views.borrow_mut().push(known, remembered);
+    shared.views.borrow_mut().push(snapshot, views_kept);
     let read_ms = now.since(sent).as_millis();
     let line = |event| {
         Line::new(event).with("version", version).with("from", from).with("read_ms", read_ms)
@@ -386,7 +403,8 @@
     }
 }
 
-/// Keeps the gateway's entry alive for ever, once it knows a configuration.
+/// Announces the gateway once it knows a configuration, and renews its entry until the gateway
+/// stops.
 pub async fn maintain_entry(
     shared: Shared,
     entry: Entry,
@@ -403,21 +421,23 @@
         let result = with_timeout(announce(entry.clone(), LEASE)).await;
         shared.metrics.store_call("announce", result.is_ok());
         let Ok(lease) = result else {
-            tokio::time::sleep(jittered(&shared, AGAIN * 2)).await;
+            tokio::time::sleep(jittered(&shared, RETRY_INTERVAL * 2)).await;
             continue;
         };
         shared.lease.set(Some(lease));
         shared.log(Line::new("announced").with("lease", lease));
         loop {
-            // After a return the lease is nobody's, or another's, and renewing it would succeed.
+            // After a return of the store to an older copy, the lease's id may belong to no entry
+            // or to another gateway's, and renewing it could succeed without keeping this entry
+            // alive.
             tokio::select! {
                 _ = watcher.next() => {
                     let spread = shared.rng.borrow_mut().random_range(0.0..1.0);
-                    tokio::time::sleep(ANNOUNCING.mul_f64(spread)).await;
+                    tokio::time::sleep(ANNOUNCE_SPREAD.mul_f64(spread)).await;
                     shared.log(Line::new("lease_ended").with("lease", lease).with("cause", "return"));
                     break;
                 }
-                () = tokio::time::sleep(jittered(&shared, RENEWAL)) => {}
+                () = tokio::time::sleep(jittered(&shared, RENEWAL_INTERVAL)) => {}
             }
             if shared.gateway.borrow().is_stopping() {
                 return;
@@ -432,7 +452,7 @@
     }
 }
 
-/// Takes the entry out of the store; the lease ends it anyway if that fails.
+/// Deletes the gateway's entry; if that fails, the entry disappears when its lease ends.
 pub async fn withdraw(shared: &Shared, mut withdraw: Box<dyn FnMut(u64) -> Reply<()>>) {
     if let Some(lease) = shared.lease.take() {
         let result = with_timeout(withdraw(lease)).await;
@@ -440,7 +460,8 @@
     }
 }
 
-/// Some time around `period`, so that gateways that started together do not call together.
+/// Returns `period` with random jitter, so that gateways that started together do not call
+/// together.
 fn jittered(shared: &Shared, period: Duration) -> Duration {
     period.mul_f64(shared.rng.borrow_mut().random_range(0.85..1.15))
 }
