--- a/gateway/src/peers.rs
+++ b/gateway/src/peers.rs
@@ -1,4 +1,8 @@
-//! Heartbeats, questions and updates between gateways, as datagrams.
+//! Exchanges messages between gateways, as datagrams.
+//!
+//! Datagrams may be lost. Heartbeats, reports and usage batches are sent again. After a lost update
+//! an owner counts a call for some seconds too long or too short. A request without a response
+//! falls back to reading the store or to load reports.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -30,110 +34,111 @@
 use crate::shared::Shared;
 
 /// Time from one heartbeat to the next.
-const PERIOD: Duration = Duration::from_millis(250);
-/// Peers that get a heartbeat at a time; in a larger fleet they are drawn anew each time.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
+/// Peers that each heartbeat is sent to; in a larger fleet they are chosen at random each time.
 const FANOUT: usize = 4;
-/// Longest wait for an answer: several round trips between failure domains.
-const ANSWER: Duration = Duration::from_millis(60);
-/// Longest wait for an owner's snapshot; a few round trips between failure domains.
-const STANDING: Duration = Duration::from_millis(12);
-/// Largest datagram.
-const LARGEST: usize = 8_192;
+/// Timeout of a proof request: several round trips between failure domains.
+const PROOF_TIMEOUT: Duration = Duration::from_millis(60);
+/// Timeout of a snapshot request: a few round trips between failure domains.
+const SNAPSHOT_TIMEOUT: Duration = Duration::from_millis(12);
+/// Largest datagram, in bytes.
+const MAX_DATAGRAM_BYTES: usize = 8_192;
 
 /// A datagram between gateways.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum Message {
-    /// The sender lives.
+    /// State of the sender, which shows that it is alive.
     Heartbeat(Box<Heartbeat>),
-    /// Has anything changed?
+    /// Asks a reader for its digest of the store; holds an id of the request.
     ProofRequest(u64),
-    /// What the sender knows.
+    /// Response to a proof request.
     Proof(Proof),
-    /// How are these engines, which you keep?
+    /// Asks the owner of these engines for their occupancy; holds an id of the request.
     SnapshotRequest(u64, Vec<Digest>),
-    /// How they are.
+    /// Response to the snapshot request with this id.
     Snapshots(u64, Vec<Snapshot>),
-    /// What happened at engines that you keep.
+    /// Changes at engines, for their owner.
     Updates(Vec<Update>),
-    /// What the sender has seen, for you to decide by.
+    /// Statistics of the sender, for the gateway that decides on isolated pools.
     Report(Report),
-    /// Counts of requests, held by the gateway with this short hash.
+    /// Usage counts, sent by the gateway with this short hash.
     Usage(u32, Vec<usage::Batch>),
-    /// The gateway with this short hash holds these counts.
+    /// Acknowledges usage counts that the gateway with this short hash has stored.
     UsageAck(u32, Vec<usage::BatchId>),
 }
 
-/// What follows a heartbeat in its datagram. Gateways of releases without it pass over it.
+/// Data after a heartbeat in its datagram, which gateways of earlier releases ignore.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Trailer {
-    /// Time of day of the sender's own clock.
+    /// Time of day by the sender's clock.
     pub wall: WallTime,
-    /// Who leads, as far as the sender knows.
+    /// The leader, as far as the sender knows.
     pub leader: Option<leader::Identity>,
 }
 
-/// Decodes a datagram; whatever its bytes, it takes no more memory than a few times its length.
+/// Decodes a datagram. For any bytes, decoding takes at most a few times their length of memory.
 ///
 /// # Errors
 ///
-/// What can't be understood.
+/// Returns an error if the message is malformed.
 pub fn decode(bytes: &[u8]) -> Result<Message, postcard::Error> {
     decode_with_trailer(bytes).map(|(message, _)| message)
 }
 
-/// Decodes a datagram and what follows its message, if anything does.
+/// Decodes a datagram and its trailer; a missing or malformed trailer is `None`.
 ///
 /// # Errors
 ///
-/// What can't be understood of the message.
+/// Returns an error if the message is malformed.
 pub fn decode_with_trailer(bytes: &[u8]) -> Result<(Message, Option<Trailer>), postcard::Error> {
     let (message, rest) = postcard::take_from_bytes(bytes)?;
     Ok((message, postcard::from_bytes(rest).ok()))
 }
 
-/// Answers that are waited for, by question.
+/// Requests that wait for a response, by their ids.
 #[derive(Debug, Default)]
 pub struct Pending {
     proofs: BTreeMap<u64, oneshot::Sender<Proof>>,
     snapshots: BTreeMap<u64, oneshot::Sender<Vec<Snapshot>>>,
 }
 
-/// A reader's answer to a question.
+/// Proof of what the store held, sent by a reader.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct Proof {
-    /// The question.
+    /// Id of the proof request.
     pub question: u64,
-    /// Digest of everything that the store held.
+    /// Digest of the reader's view of the store.
     pub digest: view::Digest,
-    /// Age of the read that saw it, in microseconds.
+    /// Age of the read that found this view, in microseconds.
     pub age_us: u64,
 }
 
-/// Asks the gateway at `address`, for as long as an answer takes that is worth waiting for.
+/// Requests a proof from the gateway at `address`; `None` if none arrives in time.
 pub async fn request_proof(shared: &Shared, address: SocketAddr) -> Option<Proof> {
     let socket = &shared.socket;
     let request = shared.rng.borrow_mut().random();
-    let (sender, answer) = oneshot::channel();
+    let (sender, response) = oneshot::channel();
     shared.pending.borrow_mut().proofs.insert(request, sender);
     let sent = send(socket, address, &Message::ProofRequest(request)).await;
-    let answer = match sent {
-        true => tokio::time::timeout(ANSWER, answer).await.ok().and_then(Result::ok),
+    let proof = match sent {
+        true => tokio::time::timeout(PROOF_TIMEOUT, response).await.ok().and_then(Result::ok),
         false => None,
     };
     shared.pending.borrow_mut().proofs.remove(&request);
-    answer
+    proof
 }
 
-/// Queries the owners of engines, by address.
+/// Requests snapshots of engines from their owners, whose addresses are the keys; `None` is this
+/// gateway.
 ///
-/// An answer that takes longer than it is worth is done without.
+/// Engines whose owner does not respond in time are missing from the result.
 pub async fn request_snapshots(
     shared: &Shared,
     queries: BTreeMap<Option<String>, Vec<Digest>>,
 ) -> Vec<Snapshot> {
-    let asked = queries.iter().map(|(owner, engines)| query_owner(shared, owner, engines));
-    let answers = futures_util::future::join_all(asked).await;
-    answers.into_iter().flatten().collect()
+    let requests = queries.iter().map(|(owner, engines)| query_owner(shared, owner, engines));
+    let snapshots = futures_util::future::join_all(requests).await;
+    snapshots.into_iter().flatten().collect()
 }
 
 async fn query_owner(shared: &Shared, owner: &Option<String>, engines: &[Digest]) -> Vec<Snapshot> {
@@ -144,25 +149,25 @@
         return Vec::new();
     };
     let request = shared.rng.borrow_mut().random();
-    let (sender, answer) = oneshot::channel();
+    let (sender, response) = oneshot::channel();
     shared.pending.borrow_mut().snapshots.insert(request, sender);
     let message = Message::SnapshotRequest(request, engines.to_vec());
-    let answer = match send(&shared.socket, address, &message).await {
-        true => tokio::time::timeout(STANDING, answer).await.ok().and_then(Result::ok),
+    let snapshots = match send(&shared.socket, address, &message).await {
+        true => tokio::time::timeout(SNAPSHOT_TIMEOUT, response).await.ok().and_then(Result::ok),
         false => None,
     };
     shared.pending.borrow_mut().snapshots.remove(&request);
-    let heard = if answer.is_some() { "answered" } else { "missed" };
-    shared.metrics.count("owner_queries_total", format!("outcome=\"{heard}\""));
-    answer.unwrap_or_default()
+    let outcome = if snapshots.is_some() { "answered" } else { "missed" };
+    shared.metrics.count("owner_queries_total", format!("outcome=\"{outcome}\""));
+    snapshots.unwrap_or_default()
 }
 
-/// Sends updates to the owners of engines, for ever.
+/// Sends updates to the owners of engines, forever.
 pub async fn notify_owners(shared: Shared) {
     loop {
         shared.updates_waiting.notified().await;
-        let told = shared.gateway.borrow_mut().drain_updates(clock::now());
-        for (owner, updates) in told {
+        let updates = shared.gateway.borrow_mut().drain_updates(clock::now());
+        for (owner, updates) in updates {
             if let Ok(address) = owner.parse::<SocketAddr>() {
                 send(&shared.socket, address, &Message::Updates(updates)).await;
             }
@@ -170,7 +175,7 @@
     }
 }
 
-/// Sends a message; datagrams may be lost, so senders send more, or fall back.
+/// Sends a message; returns whether it was handed to the network, which may still lose it.
 pub async fn send(socket: &UdpSocket, address: SocketAddr, message: &Message) -> bool {
     match postcard::to_stdvec(message) {
         Ok(bytes) => socket.send_to(&bytes, address).await.is_ok(),
@@ -178,7 +183,7 @@
     }
 }
 
-async fn reply(shared: &Shared, from: SocketAddr, request: u64) {
+async fn send_proof(shared: &Shared, from: SocketAddr, request: u64) {
     let age = shared.gateway.borrow().proof_age(clock::now());
     let digest = shared.views.borrow().newest().map(|known| known.digest);
     if let (Some(age), Some(digest)) = (age, digest) {
@@ -187,15 +192,15 @@
     }
 }
 
-/// Sends heartbeats for ever.
+/// Sends heartbeats, forever.
 pub async fn send_heartbeats(shared: Shared) {
     loop {
         send_heartbeat(&shared).await;
-        tokio::time::sleep(PERIOD).await;
+        tokio::time::sleep(HEARTBEAT_INTERVAL).await;
     }
 }
 
-/// Sends one heartbeat to some peers.
+/// Sends one heartbeat to at most [`FANOUT`] peers.
 pub async fn send_heartbeat(shared: &Shared) {
     let (heartbeat, mut peers) = {
         let gateway = shared.gateway.borrow();
@@ -207,7 +212,7 @@
     peers.shuffle(&mut *shared.rng.borrow_mut());
     for peer in peers.iter().take(FANOUT) {
         if let Ok(address) = peer.parse::<SocketAddr>() {
-            // The next heartbeat makes up for one that can't be sent.
+            // A heartbeat that can't be sent is replaced by the next one.
             let _ = shared.socket.send_to(&bytes, address).await;
         }
     }
@@ -223,7 +228,7 @@
     postcard::to_extend(&trailer, bytes).ok()
 }
 
-fn take_trailer(shared: &Shared, from: &str, trailer: Option<Trailer>) {
+fn receive_trailer(shared: &Shared, from: &str, trailer: Option<Trailer>) {
     if let (Some(duties), Some(trailer)) = (&shared.duties, trailer) {
         duties.observe_wall(clock::now(), directory::short_hash(from), trailer.wall);
         if let Some(leader) = trailer.leader {
@@ -232,7 +237,8 @@
     }
 }
 
-/// Reevaluates the quarantine, and sends reports to the decider or decides, for ever.
+/// Periodically reevaluates the quarantine, and sends a report to the gateway that decides on
+/// isolated pools, or decides if this gateway does, forever.
 pub async fn send_reports(shared: Shared) {
     loop {
         let period = shared.gateway.borrow().reporting_period();
@@ -248,25 +254,25 @@
     }
 }
 
-/// Counts how often peers go by the same plans, and how long a new one took to come here.
-fn note_plans(shared: &Shared, heard: &[(Comparison, Span)]) {
-    for (heard, age) in heard {
-        shared.metrics.count("plans_heard_total", format!("plan=\"{heard}\""));
-        if *heard == Comparison::Newer {
+/// Counts how often peers follow the same plans, and how long new ones took to arrive.
+fn count_plans(shared: &Shared, comparisons: &[(Comparison, Span)]) {
+    for (comparison, age) in comparisons {
+        shared.metrics.count("plans_heard_total", format!("plan=\"{comparison}\""));
+        if *comparison == Comparison::Newer {
             shared.metrics.add("plans_delay_ms_total", String::new(), age.as_millis());
         }
     }
 }
 
-/// Takes datagrams in for ever.
+/// Receives and handles datagrams, forever.
 pub async fn receive(shared: Shared) {
-    let mut bytes = [0; LARGEST];
+    let mut bytes = [0; MAX_DATAGRAM_BYTES];
     loop {
         let (n, from) = match shared.socket.recv_from(&mut bytes).await {
             Ok(received) => received,
             Err(e) => {
                 shared.log(Line::new("heartbeat_failed").with("error", e));
-                tokio::time::sleep(PERIOD).await;
+                tokio::time::sleep(HEARTBEAT_INTERVAL).await;
                 continue;
             }
         };
@@ -280,15 +286,15 @@
         };
         match message {
             Message::Heartbeat(heartbeat) => {
-                take_trailer(&shared, &heartbeat.entry.name, trailer);
-                let heard = shared.gateway.borrow_mut().receive(clock::now(), &heartbeat);
-                note_plans(&shared, &heard);
+                receive_trailer(&shared, &heartbeat.entry.name, trailer);
+                let comparisons = shared.gateway.borrow_mut().receive(clock::now(), &heartbeat);
+                count_plans(&shared, &comparisons);
             }
-            Message::ProofRequest(request) => reply(&shared, from, request).await,
+            Message::ProofRequest(request) => send_proof(&shared, from, request).await,
             Message::Proof(proof) => {
                 let waiting = shared.pending.borrow_mut().proofs.remove(&proof.question);
                 if let Some(sender) = waiting {
-                    // The caller may have given up.
+                    // The request may have timed out.
                     let _ = sender.send(proof);
                 }
             }
@@ -300,7 +306,7 @@
             Message::Snapshots(request, snapshots) => {
                 let waiting = shared.pending.borrow_mut().snapshots.remove(&request);
                 if let Some(sender) = waiting {
-                    // The caller may have given up.
+                    // The request may have timed out.
                     let _ = sender.send(snapshots);
                 }
             }
