--- a/gateway/src/store.rs
+++ b/gateway/src/store.rs
@@ -342,7 +342,7 @@
     // The quarantine is restored first, so that a gateway that has just started enforces it from
     // its first call on.
     quarantine::restore(shared, &reading.fingerprints);
-    reading.view.replicas = shared.gateway.borrow().amend(sent, reading.view.replicas);
+    reading.view.replicas = shared.gateway.borrow().reconcile(sent, reading.view.replicas);
     // A configuration that can't be decoded may be the one that revokes a key. The last readable
     // one stays in force, and its proof of freshness ages as during an outage of the store, so that
     // no key is accepted for longer than the limit on revocation.
