--- a/core/tests/gateway/autoscaler.rs
+++ b/core/tests/gateway/autoscaler.rs
@@ -1,4 +1,4 @@
-//! Orders of engines under bursts, reclaims and refusals, without a network.
+//! Orders of engines under bursts, reclaimed instances and refused orders.
 
 use laburnumwheel_core::gateway::autoscaler::Autoscaler;
 use laburnumwheel_core::gateway::autoscaler::Capacities;
@@ -26,13 +26,13 @@
     all.iter().map(|(domain, capacity)| ((*domain).to_owned(), capacity.clone())).collect()
 }
 
-fn even(ordinary: u32, spot: u32) -> Capacities {
+fn balanced(ordinary: u32, spot: u32) -> Capacities {
     let capacity = capacity(ordinary, spot);
     capacities(&[("a", capacity.clone()), ("b", capacity.clone()), ("c", capacity)])
 }
 
-/// Three failure domains whose replicas boot and leave as ordered, a second a step.
-struct World {
+/// Three failure domains whose replicas boot and leave as ordered, in steps of one second.
+struct Simulation {
     autoscaler: Autoscaler,
     now: Time,
     capacities: Capacities,
@@ -41,11 +41,11 @@
     unavailable: Vec<String>,
 }
 
-impl World {
-    fn new(capacities: Capacities) -> World {
+impl Simulation {
+    fn new(capacities: Capacities) -> Simulation {
         let autoscaler = Autoscaler::new(SLOTS, ORDINARY_SHARE);
         let (booting, unavailable) = (Vec::new(), Vec::new());
-        World { autoscaler, now: START, capacities, booting, orders: 0, unavailable }
+        Simulation { autoscaler, now: START, capacities, booting, orders: 0, unavailable }
     }
 
     fn step(&mut self, calls: f64) {
@@ -57,11 +57,11 @@
         }
         self.autoscaler.observe(now, calls, &self.capacities);
         for order in self.autoscaler.plan(now, &scaling(), &self.capacities) {
-            self.place(&order);
+            self.execute(&order);
         }
     }
 
-    fn place(&mut self, order: &Order) {
+    fn execute(&mut self, order: &Order) {
         self.orders += 1;
         let refused = order.kind == Kind::Spot && self.unavailable.contains(&order.domain);
         let outcome = if refused { Outcome::Refused } else { Outcome::Accepted };
@@ -94,149 +94,150 @@
 }
 
 #[test]
-fn ordinary_engines_stay_until_spot_instances_serve_in_their_place() {
-    let mut world = World::new(even(30, 0));
+fn ordinary_engines_stay_until_spot_instances_replace_them() {
+    let mut sim = Simulation::new(balanced(30, 0));
 
-    let fewest = (0..20).map(|_| {
-        world.step(0.0);
-        world.engines()
+    let engine_counts = (0..20).map(|_| {
+        sim.step(0.0);
+        sim.engines()
     });
 
-    assert!(fewest.min() >= Some(90));
-    assert_eq!(world.ordinary(), 9);
+    assert!(engine_counts.min() >= Some(90));
+    assert_eq!(sim.ordinary(), 9);
 }
 
 #[test]
-fn a_failure_domain_that_loses_its_spot_instances_leaves_enough_engines() {
-    let mut world = World::new(even(30, 0));
-    world.run(30, 400.0);
-    let needed = world.autoscaler.needed();
+fn losing_the_spot_instances_of_a_domain_leaves_enough_engines() {
+    let mut sim = Simulation::new(balanced(30, 0));
+    sim.run(30, 400.0);
+    let needed = sim.autoscaler.needed();
 
-    world.reclaim("b");
+    sim.reclaim("b");
 
-    assert!(world.engines() >= needed, "{} of {needed}", world.engines());
+    assert!(sim.engines() >= needed, "{} of {needed}", sim.engines());
 }
 
 #[test]
-fn the_first_calls_of_a_day_do_not_shrink_the_fleet() {
-    let mut world = World::new(even(30, 0));
-    world.run(12, 0.0);
-    let before = world.engines();
+fn the_first_calls_do_not_shrink_the_fleet() {
+    let mut sim = Simulation::new(balanced(30, 0));
+    sim.run(12, 0.0);
+    let before = sim.engines();
 
-    world.run(10, 20.0);
+    sim.run(10, 20.0);
 
-    assert_eq!(world.engines(), before);
+    assert_eq!(sim.engines(), before);
 }
 
 #[test]
 fn a_change_of_leader_does_not_grow_the_fleet() {
-    let mut world = World::new(even(30, 0));
-    world.run(30, 400.0);
-    let before = world.engines();
+    let mut sim = Simulation::new(balanced(30, 0));
+    sim.run(30, 400.0);
+    let before = sim.engines();
 
     for _ in 0..5 {
-        world.autoscaler = Autoscaler::new(SLOTS, ORDINARY_SHARE);
-        world.run(10, 100.0);
+        sim.autoscaler = Autoscaler::new(SLOTS, ORDINARY_SHARE);
+        sim.run(10, 100.0);
     }
 
-    assert!(world.engines() <= before + 3, "{} after {before}", world.engines());
+    assert!(sim.engines() <= before + 3, "{} after {before}", sim.engines());
 }
 
 #[test]
-fn replacements_are_ordered_at_the_notice() {
-    let mut world = World::new(even(30, 0));
-    world.run(30, 400.0);
-    let before = world.orders;
+fn replacements_are_ordered_at_the_preemption_notice() {
+    let mut sim = Simulation::new(balanced(30, 0));
+    sim.run(30, 400.0);
+    let before = sim.orders;
 
-    world.reclaim("b");
-    world.step(400.0);
+    sim.reclaim("b");
+    sim.step(400.0);
 
-    assert!(world.orders > before);
+    assert!(sim.orders > before);
 }
 
 #[test]
-fn refused_orders_are_repeated_until_there_are_instances_again() {
-    let mut world = World::new(even(30, 0));
-    world.run(30, 400.0);
-    world.unavailable.push("b".to_owned());
-    world.reclaim("b");
-    world.run(8, 400.0);
-    assert_eq!(world.capacities["b"].spot, 0);
-
-    world.unavailable.clear();
-    world.run(8, 400.0);
-
-    assert!(world.capacities["b"].spot > 0);
+fn refused_orders_are_repeated_until_instances_are_available() {
+    let mut sim = Simulation::new(balanced(30, 0));
+    sim.run(30, 400.0);
+    sim.unavailable.push("b".to_owned());
+    sim.reclaim("b");
+    sim.run(8, 400.0);
+    assert_eq!(sim.capacities["b"].spot, 0);
+
+    sim.unavailable.clear();
+    sim.run(8, 400.0);
+
+    assert!(sim.capacities["b"].spot > 0);
 }
 
-/// A world of 400 calls that loses the spot instances of two failure domains, with none to be had.
-fn dry_world() -> World {
-    let mut world = World::new(even(30, 0));
-    world.run(30, 400.0);
-    world.unavailable.extend(["a", "b", "c"].map(str::to_owned));
-    world.reclaim("a");
-    world.reclaim("b");
-    world
+/// A simulation of 400 calls in which the spot instances of two failure domains have been reclaimed
+/// and no new ones are available.
+fn simulation_without_spot() -> Simulation {
+    let mut sim = Simulation::new(balanced(30, 0));
+    sim.run(30, 400.0);
+    sim.unavailable.extend(["a", "b", "c"].map(str::to_owned));
+    sim.reclaim("a");
+    sim.reclaim("b");
+    sim
 }
 
 #[test]
-fn ordinary_engines_stand_in_for_spot_instances_that_are_not_to_be_had() {
-    let mut world = dry_world();
-    world.run(8, 900.0);
-    let (during, ordinary) = (world.engines(), world.ordinary());
+fn ordinary_engines_replace_unavailable_spot_instances() {
+    let mut sim = simulation_without_spot();
+    sim.run(8, 900.0);
+    let (during, ordinary) = (sim.engines(), sim.ordinary());
 
-    world.unavailable.clear();
-    world.run(20, 900.0);
+    sim.unavailable.clear();
+    sim.run(20, 900.0);
 
     assert!(900.0 <= 0.7 * f64::from(SLOTS * during), "{during}");
     assert!(ordinary >= 30, "{ordinary}");
-    assert_eq!(world.capacities["a"].ordinary, world.capacities["c"].ordinary);
+    assert_eq!(sim.capacities["a"].ordinary, sim.capacities["c"].ordinary);
 }
 
 #[test]
-fn no_ordinary_engines_are_ordered_while_the_others_have_room() {
-    let mut world = dry_world();
-    let before = world.ordinary();
+fn no_ordinary_engines_are_ordered_while_engines_have_room() {
+    let mut sim = simulation_without_spot();
+    let before = sim.ordinary();
 
-    world.run(8, 200.0);
+    sim.run(8, 200.0);
 
-    assert_eq!(world.ordinary(), before);
+    assert_eq!(sim.ordinary(), before);
 }
 
 #[test]
-fn replicas_that_register_late_count_as_well() {
-    let mut world = World::new(even(10, 0));
-    world.step(0.0);
-    world.capacities = even(30, 0);
+fn replicas_that_register_late_are_counted() {
+    let mut sim = Simulation::new(balanced(10, 0));
+    sim.step(0.0);
+    sim.capacities = balanced(30, 0);
 
-    world.run(20, 0.0);
+    sim.run(20, 0.0);
 
-    assert!(world.autoscaler.needed() >= 90, "{}", world.autoscaler.needed());
+    assert!(sim.autoscaler.needed() >= 90, "{}", sim.autoscaler.needed());
 }
 
 #[test]
-fn bursts_in_a_row_do_not_boot_and_drain_engines_in_turn() {
-    let mut world = World::new(even(30, 0));
-    world.run(20, 900.0);
-    let before = world.orders;
+fn successive_bursts_do_not_boot_and_drain_engines_in_turn() {
+    let mut sim = Simulation::new(balanced(30, 0));
+    sim.run(20, 900.0);
+    let before = sim.orders;
 
     for _ in 0..6 {
-        world.run(9, 150.0);
-        world.run(9, 900.0);
+        sim.run(9, 150.0);
+        sim.run(9, 900.0);
     }
 
-    assert!(world.orders - before <= 6, "{} orders", world.orders - before);
+    assert!(sim.orders - before <= 6, "{} orders", sim.orders - before);
 }
 
 #[test]
-fn entries_that_are_missing_after_an_outage_take_no_order_back() {
-    let mut world = World::new(even(30, 0));
-    world.run(30, 900.0);
-    let before = world.capacities.clone();
-    world.capacities.values_mut().for_each(|capacity| capacity.spot = 1);
+fn missing_entries_after_an_outage_do_not_reduce_orders() {
+    let mut sim = Simulation::new(balanced(30, 0));
+    sim.run(30, 900.0);
+    let before = sim.capacities.clone();
+    sim.capacities.values_mut().for_each(|capacity| capacity.spot = 1);
 
-    let now = world.now + Span::secs(20);
-    let orders = world.autoscaler.plan(now, &scaling(), &world.capacities);
+    let now = sim.now + Span::secs(20);
+    let orders = sim.autoscaler.plan(now, &scaling(), &sim.capacities);
 
     let spot = orders.iter().filter(|order| order.kind == Kind::Spot);
     assert!(spot.clone().count() > 0);
@@ -246,7 +247,7 @@
 #[test]
 fn a_fleet_of_thousands_is_not_replaced_at_once() {
     let scaling = Scaling { max: 2_000, ..scaling() };
-    let mut capacities = even(1_000, 0);
+    let mut capacities = balanced(1_000, 0);
     let mut autoscaler = Autoscaler::new(SLOTS, ORDINARY_SHARE);
     let mut most = 0;
 
@@ -258,12 +259,12 @@
         for order in orders {
             autoscaler.record_outcome(now, &order, Outcome::Accepted, &capacities);
             let capacity = capacities.get_mut(&order.domain).unwrap();
-            let there = match order.kind {
+            let current = match order.kind {
                 Kind::Ordinary => &mut capacity.ordinary,
                 Kind::Spot => &mut capacity.spot,
             };
-            changes += there.abs_diff(order.desired);
-            *there = order.desired;
+            changes += current.abs_diff(order.desired);
+            *current = order.desired;
         }
         most = most.max(changes);
     }
@@ -273,46 +274,45 @@
 }
 
 #[test]
-fn a_fleet_whose_demand_is_gone_shrinks() {
-    let mut world = World::new(even(30, 0));
-    world.run(20, 900.0);
-    let most = world.engines();
+fn the_fleet_shrinks_when_demand_falls() {
+    let mut sim = Simulation::new(balanced(30, 0));
+    sim.run(20, 900.0);
+    let most = sim.engines();
 
-    world.run(3_600, 100.0);
+    sim.run(3_600, 100.0);
 
-    assert!(world.engines() < most / 2, "{} of {most}", world.engines());
+    assert!(sim.engines() < most / 2, "{} of {most}", sim.engines());
 }
 
 #[test]
-fn replicas_that_never_come_are_ordered_again() {
-    let mut world = World::new(even(30, 0));
-    world.step(0.0);
-    world.booting.clear();
-    let before = world.orders;
+fn ordered_replicas_that_never_boot_are_ordered_again() {
+    let mut sim = Simulation::new(balanced(30, 0));
+    sim.step(0.0);
+    sim.booting.clear();
+    let before = sim.orders;
 
-    world.run(8, 0.0);
+    sim.run(8, 0.0);
 
-    assert!(world.orders >= before + 3);
+    assert!(sim.orders >= before + 3);
 }
 
 #[test]
 fn no_failure_domain_gets_more_than_its_maximum() {
-    let mut world = World::new(even(30, 0));
+    let mut sim = Simulation::new(balanced(30, 0));
 
     for _ in 0..40 {
-        world.step(9_000.0);
-        let most =
-            world.capacities.values().map(|capacity| capacity.ordinary + capacity.spot).max();
+        sim.step(9_000.0);
+        let most = sim.capacities.values().map(|capacity| capacity.ordinary + capacity.spot).max();
         assert!(most <= Some(60));
     }
 }
 
 #[test]
-fn nothing_is_ordered_where_there_are_no_spot_instances() {
+fn nothing_is_ordered_without_spot_instances() {
     let mut autoscaler = Autoscaler::new(SLOTS, ORDINARY_SHARE);
     let without = Scaling { spot_price: None, ..scaling() };
 
-    let orders = autoscaler.plan(START, &without, &even(30, 0));
+    let orders = autoscaler.plan(START, &without, &balanced(30, 0));
 
     assert!(orders.is_empty());
 }
