--- a/core/src/gateway/state.rs
+++ b/core/src/gateway/state.rs
@@ -1,4 +1,8 @@
-//! One gateway: from a call's head to a replica, and everything it believes.
+//! State of one gateway: admits calls, chooses their replicas and records what comes of them.
+//!
+//! The caller of this module passes in the time, heads of calls, replies of replicas, reads of the
+//! store and heartbeats of peers. A call holds a [`Grant`] from its admission to its end. A grant
+//! is checked again before each attempt, because the configuration may have changed since.
 
 mod attempts;
 mod owner;
@@ -52,65 +56,70 @@
 use crate::time::Span;
 use crate::time::Time;
 
-/// Time to come back for a caller that another gateway can serve at once.
-const ELSEWHERE: Span = Span::millis(50);
-/// Callers who are refused for load come back after some time in this range.
-const RETURN_FROM: Span = Span::millis(400);
-const RETURN_TO: Span = Span::millis(1_500);
-/// Expected waits are spread by a random factor in this range, so that gateways which see the same
-/// old report do not all refuse, and then all send, at once.
-const DITHER_FROM: f64 = 0.3;
-const DITHER_TO: f64 = 1.7;
-/// Objectives, or part of the timeout, that a call may be expected to wait for its first event. Of
-/// reports that are expected at 0.5 to 0.6 of theirs, 15 to 22 in 100 come late; at 0.6 to 0.7, 21
-/// to 32, and those behind them with them.
-const OBJECTIVES: f64 = 0.6;
-const OBJECTIVES_URGENT: f64 = 2.0;
-const TIMEOUT_PART: f64 = 0.06;
-/// Time to come back when the replicas are busy.
-const BUSY: Span = Span::millis(300);
-
-/// What a gateway learns at its start.
+/// Time after which a caller retries at another gateway, which can serve it at once.
+const RETRY_ELSEWHERE: Span = Span::millis(50);
+/// Range of the time after which callers that are refused for overload retry.
+const MIN_RETRY_OVERLOADED: Span = Span::millis(400);
+const MAX_RETRY_OVERLOADED: Span = Span::millis(1_500);
+/// Range of the random factor on expected waits. Without it, gateways that see the same old load
+/// report would all refuse, and later all send, at the same time.
+const MIN_DITHER: f64 = 0.3;
+const MAX_DITHER: f64 = 1.7;
+/// Upper bound on the expected wait for a first event, in multiples of the route's objective, for
+/// calls of the lowest rank. Of calls for reports with an expected wait of 0.5 to 0.6 objectives,
+/// 15 to 22 in 100 were late; at 0.6 to 0.7 it was 21 to 32, and these delayed the calls behind
+/// them.
+const MAX_WAIT_OBJECTIVES: f64 = 0.6;
+/// The same for calls of a higher rank.
+const MAX_WAIT_OBJECTIVES_URGENT: f64 = 2.0;
+/// The same bound as a share of the route's timeout; the larger of the two bounds applies.
+const MAX_WAIT_TIMEOUT_SHARE: f64 = 0.06;
+/// Time after which a caller retries when no replica can be given work.
+const RETRY_NO_REPLICA: Span = Span::millis(300);
+
+/// Settings of a gateway, fixed from its start.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Its entry in the directory.
+    /// Entry of this gateway in the directory.
     pub entry: Entry,
-    /// Longest age of the proof that lets keys be honoured.
+    /// Age from which on a proof of the configuration no longer lets keys be accepted; `None` if a
+    /// proof of any age does.
     pub max_proof_age: Option<Span>,
-    /// Retry budget of all gateways together.
+    /// Rules of the retry budget that all gateways share.
     pub budget: budget::Rules,
-    /// Seed of random choices.
+    /// Seed of the random number generator.
     pub seed: u64,
 }
 
-/// A call that was admitted, until it ends.
+/// State of an admitted call, from its admission to its end.
 #[derive(Clone, Debug)]
 pub struct Grant {
-    /// The route's rules.
+    /// Route that the call matched.
     pub route: Arc<Route>,
-    /// Organisation by name.
+    /// Name of the organisation that holds the key; `None` on a public route.
     pub organisation: Option<String>,
-    /// How urgent it is.
+    /// Rank of the call.
     pub rank: Rank,
-    /// Service that the call goes to.
+    /// Name of the service that the call goes to.
     pub service: String,
-    /// What it asks for; set once its body was read.
+    /// Fingerprint of the request; `None` until the body was read.
     pub fingerprint: Option<Fingerprint>,
-    /// When its head was read.
+    /// Time when the call's head was read.
     pub arrived: Time,
-    /// When its caller, or its route, stops waiting.
+    /// Time when the caller's patience or the route's timeout ends.
     pub deadline: Time,
-    /// Replicas that had it, or could not be reached.
+    /// Replicas that were sent an attempt or could not be reached.
     pub tried: Vec<Key<Replica>>,
-    /// Attempts that may have run.
+    /// Number of attempts that may have run.
     pub attempts: u32,
-    /// The replica that was chosen last, and what decided it; also if that led to a refusal.
+    /// The last replica that was chosen, also if the call was then refused for overload.
     pub last_pick: Option<Pick>,
     version: u64,
 }
 
-/// How urgent a call is; the least comes first. Within a route's rank the organisation's counts:
-/// the other way round, engines stop catalogue drafts for the reports of a larger customer.
+/// Rank of a call; the least is served first. The route's rank is compared before the
+/// organisation's: in the opposite order engines preempt catalogue drafts for the reports of a
+/// larger customer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Rank {
     /// Rank of the route; 0 is the highest.
@@ -119,7 +128,7 @@
     pub organisation: u8,
 }
 
-/// A replica for an attempt.
+/// The replica that was chosen for an attempt.
 #[derive(Clone, Debug)]
 pub struct Pick {
     /// Claim on the replica.
@@ -128,15 +137,15 @@
     pub id: String,
     /// Address of the replica.
     pub address: String,
-    /// It is a model engine.
+    /// Whether the replica is a model engine.
     pub engine: bool,
 }
 
-/// One gateway without its sockets and timers.
+/// State of one gateway, without sockets and timers.
 #[derive(Debug)]
 pub struct Gateway {
     settings: Settings,
-    began: Time,
+    started_at: Time,
     rng: SmallRng,
     config: Option<Arc<Config>>,
     freshness: Freshness,
@@ -150,11 +159,11 @@
     popularity: Popularity,
     quarantine: Quarantine,
     occupancy: Occupancy,
-    tidied: Time,
+    last_sweep: Time,
     outage: Outage,
     rollback: Rollback,
-    /// Newest version in peers' heartbeats of this gateway's first seconds.
-    told_version: u64,
+    /// Newest version of the configuration in the heartbeats received shortly after the start.
+    newest_peer_version: u64,
     stop: Option<Stop>,
 }
 
@@ -162,7 +171,7 @@
     /// A gateway that has just started.
     pub fn new(settings: Settings, now: Time) -> Gateway {
         Gateway {
-            began: now,
+            started_at: now,
             rng: SmallRng::seed_from_u64(settings.seed),
             config: None,
             freshness: Freshness::new(settings.max_proof_age),
@@ -176,10 +185,10 @@
             popularity: Popularity::default(),
             quarantine: Quarantine::default(),
             occupancy: Occupancy::default(),
-            tidied: now,
+            last_sweep: now,
             outage: Outage::default(),
             rollback: Rollback::default(),
-            told_version: 0,
+            newest_peer_version: 0,
             stop: None,
             settings,
         }
@@ -190,38 +199,39 @@
         &self.settings.entry.name
     }
 
-    /// Gateways that read the store for all, and whether this one does.
+    /// Addresses of the other gateways that read the store for all, and whether this one does too.
     pub fn readers(&self, now: Time) -> (Vec<String>, bool) {
         self.directory.readers(now, &self.settings.entry)
     }
 
-    /// Place of this gateway in the order of the readers among all that live; 0 is the first.
+    /// Rank of this gateway in the order of the readers, among all live gateways; 0 is the first.
     pub fn reader_rank(&self, now: Time) -> usize {
         self.directory.reader_rank(now, &self.settings.entry)
     }
 
-    /// Calls of all gateways at the replicas of a service, running or waiting, as far as known.
+    /// Estimated calls of all gateways at the replicas of a service, running or waiting.
     pub fn calls_at(&self, now: Time, service: &str) -> f64 {
         self.fleet.calls(now, service)
     }
 
-    /// Replicas of a service that are registered, or used although their entries are missing.
+    /// Number of a service's replicas that may get work; those with a missing entry that are
+    /// retained count too.
     pub fn registered(&self, service: &str) -> usize {
         self.fleet.iter().filter(|r| !r.closed && r.listing.service == service).count()
     }
 
-    /// Requests in one batch of a service's engines; `None` if its replicas are not engines.
+    /// Batch size of a service's engines, in requests; `None` for a plain service.
     pub fn slots(&self, service: &str) -> Option<u32> {
         Some(self.config.as_ref()?.service(service)?.engine?.slots)
     }
 
-    /// The gateways of the fleet.
+    /// Directory of the other gateways.
     pub fn directory(&self) -> &Directory {
         &self.directory
     }
 
-    /// Takes a peer's heartbeat in, received at `now`; returns how its plans stand to the known ones,
-    /// each with the age of its decision.
+    /// Merges a peer's heartbeat that was received at `now`. Returns how each of its plans compares
+    /// to the known one, with the age of the plan.
     pub fn receive(&mut self, now: Time, heartbeat: &Heartbeat) -> Vec<(Comparison, Span)> {
         if heartbeat.entry.name == self.settings.entry.name {
             return Vec::new();
@@ -257,23 +267,23 @@
         }
     }
 
-    /// Addresses for heartbeats.
+    /// Addresses to send heartbeats to.
     pub fn peer_addresses(&self) -> Vec<String> {
         self.directory.peer_addresses().map(str::to_owned).collect()
     }
 
-    /// Whether callers may be sent here.
+    /// Whether this gateway accepts new callers.
     pub fn is_open(&self, now: Time) -> bool {
         self.stop.is_none() && self.config.is_some() && self.is_current(now)
     }
 
-    /// Gateways for a caller in `domain`.
+    /// Addresses of gateways for a caller in the failure domain `domain`.
     pub fn addresses_for(&mut self, now: Time, domain: &str) -> Vec<String> {
         let own = self.is_open(now).then_some(&self.settings.entry);
         self.directory.select_addresses(now, own, domain, &mut self.rng)
     }
 
-    /// Version of the configuration in force; 0 before the first.
+    /// Version of the configuration in force; 0 before the first one.
     pub fn version(&self) -> u64 {
         self.config.as_ref().map_or(0, |c| c.version)
     }
@@ -283,17 +293,17 @@
         self.config.as_ref()
     }
 
-    /// When the read was sent that proved last what the store held.
+    /// Time when the newest read that proves the configuration current was sent.
     pub fn proved_at(&self) -> Option<Time> {
         self.freshness.proved_at()
     }
 
-    /// Age of the proof that the configuration is the newest.
+    /// Age of the newest proof that the configuration is current.
     pub fn proof_age(&self, now: Time) -> Option<Span> {
         self.freshness.age(now)
     }
 
-    /// Replicas as this gateway sees them.
+    /// Replicas of all services, as this gateway sees them.
     pub fn fleet(&self) -> &Fleet {
         &self.fleet
     }
@@ -303,7 +313,7 @@
         self.directory.live_peers(now)
     }
 
-    /// Gateways that share the budget.
+    /// Number of gateways that share the retry budget, including this one.
     pub fn gateway_count(&self) -> usize {
         self.directory.gateway_count()
     }
@@ -312,27 +322,27 @@
     ///
     /// # Errors
     ///
-    /// The refusal to answer with.
+    /// The refusal to answer the caller with.
     pub fn admit(&mut self, now: Time, submission: &Submission) -> Result<Grant, Refusal> {
         let grant = self.resolve(now, now, submission)?;
         self.may_begin(now, &grant)?;
         let rules = self.settings.budget;
-        let began = self.began;
+        let started_at = self.started_at;
         let budget = self.budgets.entry(grant.service.clone());
-        budget.or_insert_with(|| Budget::new(rules, began)).record_call(now);
+        budget.or_insert_with(|| Budget::new(rules, started_at)).record_call(now);
         Ok(grant)
     }
 
     fn resolve(&self, now: Time, arrived: Time, submission: &Submission) -> Result<Grant, Refusal> {
         let Some(config) = &self.config else {
-            return Err(Refusal::not_run(Reason::NoConfiguration, ELSEWHERE));
+            return Err(Refusal::not_run(Reason::NoConfiguration, RETRY_ELSEWHERE));
         };
         let Some(route) = config.route(&submission.host, &submission.path) else {
-            // The route may be newer than a stale configuration, and callers do not retry a 404.
+            // A stale configuration may lack a newer route, and callers do not retry after a 404.
             let refusal = if self.is_current(now) {
                 Refusal::not_run(Reason::NoRoute, Span(0))
             } else {
-                Refusal::not_run(Reason::StaleConfiguration, ELSEWHERE)
+                Refusal::not_run(Reason::StaleConfiguration, RETRY_ELSEWHERE)
             };
             return Err(refusal);
         };
@@ -340,7 +350,7 @@
         let mut rank = Rank { organisation: 0, route: route.priority };
         if !route.public {
             if !self.is_current(now) {
-                return Err(Refusal::not_run(Reason::StaleConfiguration, ELSEWHERE));
+                return Err(Refusal::not_run(Reason::StaleConfiguration, RETRY_ELSEWHERE));
             }
             let found = submission.key.as_ref().and_then(|key| config.organisation(key));
             let found = found.ok_or(Refusal::not_run(Reason::UnknownKey, Span(0)))?;
@@ -351,7 +361,7 @@
         Ok(Grant {
             organisation,
             rank,
-            service: target(route, &submission.id),
+            service: choose_service(route, &submission.id),
             fingerprint: None,
             arrived,
             deadline: arrived + patience,
@@ -368,14 +378,15 @@
         config.service(&grant.service)?.engine
     }
 
-    /// Chooses a replica for the next attempt of a call, by the owners' snapshots, if any, and by what
-    /// this gateway knows.
+    /// Chooses a replica for the next attempt of a call, by the owners' snapshots and this
+    /// gateway's own estimates.
     ///
-    /// The key, the route and the proof of both are looked at once more: the call may have waited.
+    /// Rechecks the grant first, because the call may have waited since its admission.
     ///
     /// # Errors
     ///
-    /// The refusal to answer with; it does not know of earlier attempts.
+    /// The refusal to answer the caller with. Its `not_run` concerns this attempt only, not earlier
+    /// ones.
     pub fn pick(
         &mut self,
         now: Time,
@@ -385,35 +396,35 @@
     ) -> Result<Pick, Refusal> {
         self.recheck(now, submission, grant)?;
         let engine = self.engine(grant);
-        let engine = engine.map(|e| self.engine_use(now, submission, grant, &e));
-        let need = need(submission, grant, engine, snapshots);
+        let criteria = engine.map(|e| self.criteria(now, submission, grant, &e));
+        let requirements = requirements(submission, grant, criteria, snapshots);
         let domain = &self.settings.entry.domain;
-        let claim = self.fleet.choose(now, &need, domain, &grant.tried);
-        let claim = claim.ok_or(Refusal::not_run(Reason::NoReplica, BUSY))?;
+        let claim = self.fleet.choose(now, &requirements, domain, &grant.tried);
+        let claim = claim.ok_or(Refusal::not_run(Reason::NoReplica, RETRY_NO_REPLICA))?;
         let replica = self.fleet.get(claim.replica);
-        let replica = replica.ok_or(Refusal::not_run(Reason::NoReplica, BUSY))?;
+        let replica = replica.ok_or(Refusal::not_run(Reason::NoReplica, RETRY_NO_REPLICA))?;
         let pick = Pick {
             claim,
             id: replica.listing.incarnation.id.clone(),
             address: replica.listing.address.clone(),
-            engine: engine.is_some(),
+            engine: criteria.is_some(),
         };
         grant.last_pick = Some(pick.clone());
-        // A snapshot already counts what the other gateways have sent.
+        // A snapshot includes the calls of the other gateways, so it needs no dither.
         let dither = match claim.from_snapshot {
             true => 1.0,
-            false => self.rng.random_range(DITHER_FROM..DITHER_TO),
+            false => self.rng.random_range(MIN_DITHER..MAX_DITHER),
         };
-        let longest = engine.map(|u| longest_wait_ms(&grant.route, u.lowest_rank));
-        // A call that may have run is not refused for load, as the refusal could not say that it has not.
+        let max_wait = criteria.map(|c| max_wait_ms(&grant.route, c.lowest_rank));
+        // A call that may have run is not refused for overload, which would report it as not run.
         let first = grant.attempts == 0;
-        if first && longest.is_some_and(|longest| claim.expected_ms * dither > longest) {
-            return Err(Refusal::not_run(Reason::Overloaded, self.spread()));
+        if first && max_wait.is_some_and(|max_wait| claim.expected_ms * dither > max_wait) {
+            return Err(Refusal::not_run(Reason::Overloaded, self.random_retry_after()));
         }
         Ok(pick)
     }
 
-    fn engine_use(
+    fn criteria(
         &mut self,
         now: Time,
         submission: &Submission,
@@ -421,18 +432,18 @@
         engine: &Engine,
     ) -> Criteria {
         let engines = self.fleet.usable(now, &grant.service);
-        let (sensitive, lane) = self.lane_of(now, grant, engine, engines);
+        let (sensitive, pool_size) = self.isolated_pool(now, grant, engine, engines);
         let epoch = self.plan(&grant.service).map_or(0, |plan| plan.epoch);
-        let last =
+        let lowest_rank =
             self.config.as_ref().is_some_and(|c| c.has_lowest_rank(&grant.route, &grant.service));
         let gateways = self.directory.gateway_count();
         let model = self.models.entry(grant.service.clone()).or_default();
         Criteria {
             slots: engine.slots,
             sensitive,
-            pool_size: lane,
+            pool_size,
             epoch,
-            lowest_rank: last,
+            lowest_rank,
             common_tokens: self.popularity.common_tokens(now, &submission.parts, engines, gateways),
             pause: grant.route.pause,
             objective_ms: grant.route.objective.as_secs_f64() * 1e3,
@@ -440,16 +451,18 @@
         }
     }
 
-    /// A time to come back that spreads the returns of callers who were refused together.
-    fn spread(&mut self) -> Span {
-        Span(self.rng.random_range(RETURN_FROM.0..RETURN_TO.0))
+    /// A random time to retry after, so that callers refused together do not return together.
+    fn random_retry_after(&mut self) -> Span {
+        Span(self.rng.random_range(MIN_RETRY_OVERLOADED.0..MAX_RETRY_OVERLOADED.0))
     }
 
-    /// Looks once more whether a call is allowed, right before it leaves for a replica.
+    /// Checks that a call is still allowed, right before an attempt is sent. A grant of an older
+    /// configuration is resolved again.
     ///
     /// # Errors
     ///
-    /// The refusal to answer with; it does not know of earlier attempts.
+    /// The refusal to answer the caller with. Its `not_run` concerns this attempt only, not earlier
+    /// ones.
     pub fn recheck(
         &self,
         now: Time,
@@ -457,9 +470,9 @@
         grant: &mut Grant,
     ) -> Result<(), Refusal> {
         if !grant.route.public && !self.is_current(now) {
-            return Err(Refusal::not_run(Reason::StaleConfiguration, ELSEWHERE));
+            return Err(Refusal::not_run(Reason::StaleConfiguration, RETRY_ELSEWHERE));
         }
-        self.may_send(now, grant)?;
+        self.check_quarantine(now, grant)?;
         if grant.version == self.version() {
             return Ok(());
         }
@@ -471,68 +484,70 @@
         Ok(())
     }
 
-    /// Whether a replica may still be given work.
+    /// Whether a replica is known and not closed.
     pub fn is_usable(&self, key: Key<Replica>) -> bool {
         self.fleet.get(key).is_some_and(|r| !r.closed)
     }
 
-    /// Whether a call that a replica has may still be sent to another one, and one is there.
+    /// Whether a call that was sent to a replica may be sent to another one, and one is usable.
     pub fn may_reroute(&self, now: Time, submission: &Submission, grant: &Grant) -> bool {
         let mut renewed = grant.clone();
         let allowed = self.recheck(now, submission, &mut renewed).is_ok();
         allowed && self.fleet.has_other(now, &renewed.service, &grant.tried)
     }
 
-    /// Takes one further attempt out of the service's budget; `false` if there is none left.
+    /// Spends one retry of the service's budget; `false` if none is left.
     pub fn spend_retry(&mut self, now: Time, service: &str) -> bool {
-        let sharers = self.directory.gateway_count();
-        self.budgets.get_mut(service).is_some_and(|b| b.spend_retry(now, sharers))
+        let gateways = self.directory.gateway_count();
+        self.budgets.get_mut(service).is_some_and(|b| b.spend_retry(now, gateways))
     }
 
-    /// Time until a replica with work of this gateway counts as silent; zero if it is now.
+    /// Time until the replica of `claim` counts as silent; zero if it already does.
     pub fn time_until_silent(&self, now: Time, claim: &Claim) -> Span {
         self.fleet.time_until_silent(now, claim.replica)
     }
 
     fn gossip_prefill(&self) -> Vec<prefill::Estimate> {
-        let told = self.models.iter();
-        told.filter_map(|(service, model)| model.prefill.gossip(directory::short_hash(service)))
+        let models = self.models.iter();
+        models
+            .filter_map(|(service, model)| model.prefill.gossip(directory::short_hash(service)))
             .collect()
     }
 
-    fn receive_prefill(&mut self, paces: &[prefill::Estimate]) {
+    fn receive_prefill(&mut self, estimates: &[prefill::Estimate]) {
         for (service, model) in &mut self.models {
             let short = directory::short_hash(service);
-            paces.iter().filter(|p| p.service == short).for_each(|p| model.prefill.receive(p));
+            estimates.iter().filter(|e| e.service == short).for_each(|e| model.prefill.receive(e));
         }
     }
 }
 
-/// What is learnt of a service; nothing yet if it is new.
+/// The model of a service, created if there is none yet.
 fn model<'a>(models: &'a mut BTreeMap<String, Model>, service: &str) -> &'a mut Model {
     models.entry(service.to_owned()).or_default()
 }
 
-fn need<'a>(
+fn requirements<'a>(
     submission: &'a Submission,
     grant: &'a Grant,
-    engine: Option<Criteria>,
+    criteria: Option<Criteria>,
     snapshots: &'a [Snapshot],
 ) -> Requirements<'a> {
-    Requirements { service: &grant.service, parts: &submission.parts, engine, snapshots }
+    Requirements { service: &grant.service, parts: &submission.parts, engine: criteria, snapshots }
 }
 
-/// Longest expected wait for a first event with which a call is sent on, in milliseconds: beyond
-/// it the call would be late for sure, and make those behind it late. Calls that do not rank last
-/// are given twice as long, so that they are never refused before those that do.
-fn longest_wait_ms(route: &Route, last: bool) -> f64 {
-    let objectives = if last { OBJECTIVES } else { OBJECTIVES_URGENT };
+/// Upper bound on the expected wait for a first event, in milliseconds; calls beyond it are
+/// refused. Such a call would surely be late and delay those behind it. The bound is higher for
+/// calls above the lowest rank, so that they are never refused before calls of the lowest rank.
+fn max_wait_ms(route: &Route, lowest_rank: bool) -> f64 {
+    let objectives = if lowest_rank { MAX_WAIT_OBJECTIVES } else { MAX_WAIT_OBJECTIVES_URGENT };
     let objective = route.objective.as_secs_f64() * objectives;
-    objective.max(route.timeout.as_secs_f64() * TIMEOUT_PART) * 1e3
+    objective.max(route.timeout.as_secs_f64() * MAX_WAIT_TIMEOUT_SHARE) * 1e3
 }
 
-/// The service that a call goes to, by weight; the same for each look at the same call.
-fn target(route: &Route, id: &[u8]) -> String {
+/// Chooses a service by the weights of the route's targets and the hash of the call's id, so that a
+/// call that is resolved again gets the same service.
+fn choose_service(route: &Route, id: &[u8]) -> String {
     let total: u64 = route.targets.iter().map(|t| u64::from(t.weight)).sum();
     let Some(first) = route.targets.first() else {
         return String::new();
@@ -540,12 +555,12 @@
     if route.targets.len() == 1 || total == 0 {
         return first.service.clone();
     }
-    let mut at = rendezvous::hash(&[id]) % total;
+    let mut point = rendezvous::hash(&[id]) % total;
     for t in &route.targets {
-        if at < u64::from(t.weight) {
+        if point < u64::from(t.weight) {
             return t.service.clone();
         }
-        at -= u64::from(t.weight);
+        point -= u64::from(t.weight);
     }
     first.service.clone()
 }
--- a/core/src/gateway/state/attempts.rs
+++ b/core/src/gateway/state/attempts.rs
@@ -1,4 +1,6 @@
-//! The life of an attempt: sent, first event, further events, end; and what is learnt from each.
+//! Attempts of calls: records when each is sent, its events and its end.
+//!
+//! Each record updates the replica, the model of its service and the counts for the next report.
 
 use super::Gateway;
 use super::Grant;
@@ -14,7 +16,7 @@
 use crate::time::Time;
 
 impl Gateway {
-    /// Notes that an attempt is sent to the replica of `pick`.
+    /// Records that an attempt is sent to the replica of `pick`.
     pub fn record_sent(
         &mut self,
         now: Time,
@@ -31,12 +33,12 @@
         self.popularity.record(now, &submission.parts);
     }
 
-    /// Notes that something came from a replica.
+    /// Records that a replica sent something, with its load if it reported it.
     pub fn record_activity(&mut self, now: Time, claim: &Claim, load: Option<Load>) {
         self.fleet.record_activity(now, claim.replica, load);
     }
 
-    /// Notes an event, or the whole answer, of an attempt; `true` if it is the first.
+    /// Records an event, or the whole answer, of an attempt; returns whether it is the first.
     pub fn record_event(&mut self, now: Time, claim: &mut Claim) -> bool {
         if !claim.first_event_seen {
             self.record_first_event(now, claim);
@@ -44,8 +46,8 @@
         }
         let gap = now.since(std::mem::replace(&mut claim.last_event, now));
         let isolated = claim.sensitive && claim.pool_size > 0;
-        let usual = self.fleet.service_unless_straggler(claim.replica).map(str::to_owned);
-        if let Some(service) = usual {
+        let service = self.fleet.service_unless_straggler(claim.replica).map(str::to_owned);
+        if let Some(service) = service {
             model(&mut self.models, &service).record_event(claim.pause, gap, isolated);
             if let Some(tally) = self.tally(claim) {
                 tally.record_event(claim.pause, (!isolated).then_some(gap));
@@ -54,7 +56,7 @@
         false
     }
 
-    /// Notes the first event or the whole answer of an attempt.
+    /// Records the first event, or the whole answer, of an attempt. Later ones change nothing.
     pub fn record_first_event(&mut self, now: Time, claim: &mut Claim) {
         let is_first = !claim.first_event_seen;
         self.fleet.record_first_event(now, claim);
@@ -70,7 +72,7 @@
         }
     }
 
-    /// Notes the end of an attempt that was sent.
+    /// Records the end of an attempt that was sent.
     pub fn record_end(&mut self, now: Time, claim: Claim, outcome: Outcome) {
         if let Some(tally) = self.tally(&claim) {
             tally.record_stream_end(claim.pause);
@@ -92,7 +94,7 @@
         self.fleet.record_end(now, claim, outcome);
     }
 
-    /// Notes that a replica could not be sent an attempt.
+    /// Records that an attempt could not be sent to a replica.
     pub fn record_unsent(
         &mut self,
         now: Time,
@@ -104,7 +106,8 @@
         self.fleet.record_outcome(now, key, outcome);
     }
 
-    /// Counts for the next report, of the service of an engine; `None` for a plain service.
+    /// Counts of the claim's service for the next report; `None` for a call without a pause between
+    /// events, which is no stream.
     pub(super) fn tally(&mut self, claim: &Claim) -> Option<&mut Tally> {
         let streams = claim.pause.0 > 0;
         streams.then(|| self.tallies.entry(claim.service).or_default())
--- a/core/src/gateway/state/owner.rs
+++ b/core/src/gateway/state/owner.rs
@@ -1,10 +1,14 @@
-//! Owned engines, and queries and updates to the owners of other engines.
+//! Owners of engines: occupancy of the engines that this gateway owns, and queries and updates to
+//! the owners of the other ones.
+//!
+//! Each engine has one live gateway as its owner, which counts the calls of all gateways there; see
+//! [`crate::gateway::occupancy`].
 
 use std::collections::BTreeMap;
 
 use super::Gateway;
 use super::Grant;
-use super::need;
+use super::requirements;
 use crate::gateway::directory;
 use crate::gateway::occupancy::Snapshot;
 use crate::gateway::occupancy::Update;
@@ -13,11 +17,12 @@
 use crate::time::Span;
 use crate::time::Time;
 
-/// Period of the search for engines with a new owner.
-const TIDY: Span = Span::millis(500);
+/// Period at which engines with a new owner and calls of removed gateways are dropped.
+const SWEEP_PERIOD: Span = Span::millis(500);
 
 impl Gateway {
-    /// Engines to query before a call is sent, by owner; `None` stands for this gateway.
+    /// Engines whose owners are queried before a call is sent, by the owner's address; `None`
+    /// stands for this gateway.
     pub fn queries(
         &mut self,
         now: Time,
@@ -28,13 +33,13 @@
         let Some(engine) = self.engine(grant) else {
             return queries;
         };
-        let u = self.engine_use(now, submission, grant, &engine);
+        let criteria = self.criteria(now, submission, grant, &engine);
         if submission.parts.is_empty() {
             return queries;
         }
-        let need = need(submission, grant, Some(u), &[]);
+        let requirements = requirements(submission, grant, Some(criteria), &[]);
         let domain = &self.settings.entry.domain;
-        for engine in self.fleet.candidates_to_query(now, &need, domain, &grant.tried) {
+        for engine in self.fleet.candidates_to_query(now, &requirements, domain, &grant.tried) {
             let owner = self.directory.owner(now, &self.settings.entry.name, engine);
             let address = owner.map(|(_, address)| address.to_owned());
             queries.entry(address).or_default().push(engine);
@@ -42,27 +47,28 @@
         queries
     }
 
-    /// Snapshots of these engines, as far as this gateway owns them.
+    /// Snapshots of those `engines` that are listed and owned by this gateway.
     pub fn snapshots(&mut self, now: Time, engines: &[Digest]) -> Vec<Snapshot> {
         let listed = engines.iter().filter(|engine| self.fleet.contains(**engine));
         listed.filter_map(|engine| self.occupancy.snapshot(now, *engine)).collect()
     }
 
-    /// Records updates of a peer. Those of an unlisted incarnation are dropped: it is a former one, or not
-    /// yet listed, and its snapshot would be incomplete anyway.
+    /// Records updates of a peer. Updates for an incarnation that is not listed are dropped: it has
+    /// ended, or was not listed yet and its occupancy would lack earlier calls.
     pub fn record_updates(&mut self, now: Time, updates: &[Update]) {
-        self.tidy(now);
+        self.sweep(now);
         for update in updates.iter().filter(|update| self.fleet.contains(update.engine)) {
             self.occupancy.record(now, update);
         }
     }
 
-    /// Drops engines that are removed or have a new owner, and calls of removed gateways.
-    fn tidy(&mut self, now: Time) {
-        if now.since(self.tidied) < TIDY {
+    /// Drops engines that are no longer listed or have a new owner, and calls of gateways that
+    /// ended.
+    fn sweep(&mut self, now: Time) {
+        if now.since(self.last_sweep) < SWEEP_PERIOD {
             return;
         }
-        self.tidied = now;
+        self.last_sweep = now;
         let (directory, name) = (&self.directory, self.settings.entry.name.as_str());
         let own = directory::short_hash(name);
         let fleet = &self.fleet;
@@ -72,20 +78,21 @@
         self.occupancy.retain_gateways(|gateway| gateway == own || directory.is_live(now, gateway));
     }
 
-    /// Updates to send to other owners, by address. Those of owned engines are recorded here.
+    /// Takes the updates to send to other owners, by the owner's address. Updates for engines that
+    /// this gateway owns are recorded.
     pub fn drain_updates(&mut self, now: Time) -> BTreeMap<String, Vec<Update>> {
-        self.tidy(now);
+        self.sweep(now);
         let own = u64::from(directory::short_hash(&self.settings.entry.name)) << 32;
-        let mut told: BTreeMap<String, Vec<Update>> = BTreeMap::new();
+        let mut outgoing: BTreeMap<String, Vec<Update>> = BTreeMap::new();
         for update in self.fleet.drain_updates() {
             let update = Update { call: own | update.call, ..update };
             let owner = self.directory.owner(now, &self.settings.entry.name, update.engine);
             match owner.map(|(_, address)| address.to_owned()) {
-                Some(address) => told.entry(address).or_default().push(update),
+                Some(address) => outgoing.entry(address).or_default().push(update),
                 None if self.fleet.contains(update.engine) => self.occupancy.record(now, &update),
                 None => {}
             }
         }
-        told
+        outgoing
     }
 }
--- a/core/src/gateway/state/plans.rs
+++ b/core/src/gateway/state/plans.rs
@@ -1,4 +1,6 @@
-//! Reports to the decider, decisions, and the use of plans.
+//! Plans of the isolated pools: reports to the decider, its decisions, and the use of plans.
+//!
+//! The decider is the one gateway that decides the plans for all; see [`crate::gateway::plan`].
 
 use super::Gateway;
 use super::Grant;
@@ -11,26 +13,27 @@
 use crate::time::Span;
 use crate::time::Time;
 
-/// Shortest time between two reports: several a second follow a burst that lasts for seconds.
-const REPORTING: Span = Span::millis(500);
-/// The same for each gateway of the fleet, so that the decider hears at most 500 reports a second
-/// whatever the size: at some 15 microseconds each, under 1% of a core.
-const REPORTING_EACH: Span = Span::millis(2);
-/// Time between two decisions: no longer than a heartbeat takes to carry one on.
-const DECIDING: Span = Span::millis(250);
+/// Lower bound on the period of reports: the decider has to follow bursts that last a few seconds.
+const MIN_REPORT_PERIOD: Span = Span::millis(500);
+/// Lower bound on the period of reports per gateway of the fleet. The decider receives at most 500
+/// reports a second at any size of the fleet, which take about 15 microseconds each, under 1% of a
+/// core.
+const MIN_REPORT_PERIOD_PER_GATEWAY: Span = Span::millis(2);
+/// Period of decisions, no longer than the period of the heartbeats that spread them.
+const DECISION_PERIOD: Span = Span::millis(250);
 
 impl Gateway {
-    /// Time from one report to the next, or from one decision to the next.
+    /// Time to wait before the next call of [`next_report`](Self::next_report).
     pub fn reporting_period(&self) -> Span {
         if self.planner.is_decider() {
-            return DECIDING;
+            return DECISION_PERIOD;
         }
         let gateways = self.directory.gateway_count() as u64;
-        REPORTING.max(Span(REPORTING_EACH.0 * gateways))
+        MIN_REPORT_PERIOD.max(Span(MIN_REPORT_PERIOD_PER_GATEWAY.0 * gateways))
     }
 
-    /// The report to send, with the address of the decider; `None` if there is nothing to send, or
-    /// this gateway is the decider. Decides then.
+    /// Takes the counts since the last report. Returns them with the decider's address, or `None`
+    /// if there are none. If this gateway is the decider, it updates the plans instead.
     pub fn next_report(&mut self, now: Time) -> Option<(String, Report)> {
         let own = self.is_open(now).then_some(&self.settings.entry);
         let decider = self.directory.decider(now, own);
@@ -48,7 +51,7 @@
         (!report.services.is_empty()).then_some((address, report))
     }
 
-    /// Takes in what another gateway has seen.
+    /// Merges the report of another gateway.
     pub fn receive_report(&mut self, now: Time, report: &Report) {
         self.planner.merge(now, report);
     }
@@ -65,30 +68,30 @@
                 continue;
             };
             let short = directory::short_hash(&service.name);
-            let subject = Input {
+            let input = Input {
                 service: short,
                 engine: &engine,
                 engines: self.fleet.usable(now, &service.name),
                 known: self.plans.get(short),
             };
-            let reach = |wanted| self.fleet.listed_prefix(now, &service.name, wanted);
-            let decided = self.planner.decide(now, by, &subject, reach);
+            let listed_prefix = |wanted| self.fleet.listed_prefix(now, &service.name, wanted);
+            let decided = self.planner.decide(now, by, &input, listed_prefix);
             if let Some(plan) = decided {
                 self.plans.receive(now, &plan);
             }
         }
-        let shorts: Vec<u32> = services.iter().map(|s| directory::short_hash(&s.name)).collect();
-        self.plans.retain(|short| shorts.contains(&short));
+        let hashes: Vec<u32> = services.iter().map(|s| directory::short_hash(&s.name)).collect();
+        self.plans.retain(|service| hashes.contains(&service));
     }
 
-    /// Takes the plans of a heartbeat in; returns how they stand to the known ones, each with the
-    /// age of its decision.
+    /// Merges the plans of a heartbeat. Returns how each compares to the known one, with the age of
+    /// the plan.
     pub(super) fn receive_plans(&mut self, now: Time, plans: &[Plan]) -> Vec<(Comparison, Span)> {
-        let heard = |plan: &Plan| {
-            let heard = self.plans.receive(now, plan)?;
-            Some((heard, Span::millis(u64::from(plan.age_ms))))
+        let receive = |plan: &Plan| {
+            let comparison = self.plans.receive(now, plan)?;
+            Some((comparison, Span::millis(u64::from(plan.age_ms))))
         };
-        plans.iter().filter_map(heard).collect()
+        plans.iter().filter_map(receive).collect()
     }
 
     /// The plans in force of all services.
@@ -96,13 +99,14 @@
         self.plans.gossip(now)
     }
 
-    /// The plan of a service by name.
+    /// The plan in force of the service with this name.
     pub fn plan(&self, service: &str) -> Option<&Plan> {
         self.plans.get(directory::short_hash(service))
     }
 
-    /// Whether a call's stream goes to the isolated pool, and the pool's size.
-    pub(super) fn lane_of(
+    /// Whether a call goes to the isolated pool of its service, and the size of the pool: by the
+    /// plan, or by this gateway's own observations if there is none.
+    pub(super) fn isolated_pool(
         &mut self,
         now: Time,
         grant: &Grant,
--- a/core/src/gateway/state/poison.rs
+++ b/core/src/gateway/state/poison.rs
@@ -1,4 +1,7 @@
-//! Requests that crash replicas: recording crashes, and refusing quarantined requests.
+//! Poison requests, which crash the replicas that run them: records crashes and refuses quarantined
+//! requests.
+//!
+//! Requests are identified by fingerprint; see [`crate::gateway::quarantine`].
 
 use std::collections::BTreeMap;
 
@@ -12,35 +15,40 @@
 use crate::gateway::refusal::Refusal;
 use crate::time::Time;
 
-/// Upper bound on records stored for gateways that start.
+/// Upper bound on the quarantine records in the store, which gateways load at their start.
 const MAX_STORED: usize = 64;
 
 impl Gateway {
-    /// Records that the connection broke on which a replica ran a request.
+    /// Records that the connection to a replica broke while it ran a request.
     pub fn record_crash(&mut self, now: Time, grant: &Grant, claim: &Claim) {
         if let Some(fingerprint) = grant.fingerprint {
             self.quarantine.record_crash(now, fingerprint, claim.incarnation);
         }
     }
 
-    /// Records a complete answer.
+    /// Records that a replica answered a request completely.
     pub fn record_answer(&mut self, now: Time, grant: &Grant) {
         if let Some(fingerprint) = grant.fingerprint {
             self.quarantine.record_answer(now, fingerprint);
         }
     }
 
-    /// Refuses a request that is quarantined.
-    pub(super) fn may_send(&self, now: Time, grant: &Grant) -> Result<(), Refusal> {
+    /// Checks that a request is not quarantined.
+    ///
+    /// # Errors
+    ///
+    /// The refusal to answer the caller with.
+    pub(super) fn check_quarantine(&self, now: Time, grant: &Grant) -> Result<(), Refusal> {
         let remaining =
             grant.fingerprint.and_then(|fingerprint| self.quarantine.remaining(now, fingerprint));
         match remaining {
-            Some(rest) => Err(Refusal::not_run(Reason::Quarantined, rest)),
+            Some(remaining) => Err(Refusal::not_run(Reason::Quarantined, remaining)),
             None => Ok(()),
         }
     }
 
-    /// Reevaluates the quarantine; returns the verdicts that changed since the last call.
+    /// Reevaluates the quarantine; returns the fingerprints that entered or left it since the last
+    /// call.
     pub fn reevaluate_quarantine(&mut self, now: Time) -> Vec<Transition> {
         let fleet = &self.fleet;
         self.quarantine.reevaluate(now, |replica, at| fleet.active_since(replica, at))
@@ -51,26 +59,28 @@
         self.quarantine.quarantined_count(now)
     }
 
-    /// Merges the records that the store holds.
+    /// Merges the quarantine records that were read from the store.
     pub fn restore_quarantine(&mut self, now: Time, records: &[Record]) {
         self.quarantine.merge(now, records);
     }
 
-    /// Records to store, if the stored ones are out of date.
+    /// Records to write to the store, or `None` if the stored ones are up to date.
     ///
-    /// A stored record stays until it is obsolete, whatever this gateway makes of it; gateways that saw
-    /// different things would otherwise overwrite each other in turn.
+    /// A stored record is kept until it is obsolete, also if this gateway saw none of its crashes.
+    /// Otherwise gateways with different observations would overwrite each other in turn.
     pub fn quarantine_to_store(&self, now: Time, stored: &[Record]) -> Option<Vec<Record>> {
-        let persistent = stored.iter().filter(|record| !self.quarantine.is_obsolete(now, record));
-        let mut all: BTreeMap<Fingerprint, Record> =
-            persistent.map(|r| (r.fingerprint, r.clone())).collect();
+        let current = stored.iter().filter(|record| !self.quarantine.is_obsolete(now, record));
+        let mut merged: BTreeMap<Fingerprint, Record> =
+            current.map(|r| (r.fingerprint, r.clone())).collect();
         for own in self.quarantine.durable_records(now) {
-            if all.get(&own.fingerprint).is_none_or(|known| known.crashes.len() < own.crashes.len())
+            if merged
+                .get(&own.fingerprint)
+                .is_none_or(|known| known.crashes.len() < own.crashes.len())
             {
-                all.insert(own.fingerprint, own);
+                merged.insert(own.fingerprint, own);
             }
         }
-        let mut kept: Vec<Record> = all.into_values().collect();
+        let mut kept: Vec<Record> = merged.into_values().collect();
         kept.sort_by_key(|record| record.crashes.iter().map(|crash| crash.age_ms).min());
         kept.truncate(MAX_STORED);
         let is_stored = |record: &Record| {
@@ -78,7 +88,7 @@
                 s.fingerprint == record.fingerprint && s.crashes.len() == record.crashes.len()
             })
         };
-        let same = kept.len() == stored.len() && kept.iter().all(is_stored);
-        (!same).then_some(kept)
+        let up_to_date = kept.len() == stored.len() && kept.iter().all(is_stored);
+        (!up_to_date).then_some(kept)
     }
 }
--- a/core/src/gateway/state/reads.rs
+++ b/core/src/gateway/state/reads.rs
@@ -1,4 +1,8 @@
-//! A gateway as one that reads the store, itself or by a peer: what a read changes and what it proves.
+//! Reads of the store, made by this gateway or by a peer that reads for it.
+//!
+//! A read brings the configuration and the lists of replicas and gateways. It also proves that the
+//! configuration was current when the read was sent, unless the store was rolled back shortly
+//! before.
 
 use std::sync::Arc;
 
@@ -10,43 +14,44 @@
 use crate::time::Span;
 use crate::time::Time;
 
-/// How long after its start a gateway goes by its peers' word of the newest version.
-const STARTING: Span = Span::secs(10);
+/// Time after the start in which peers' heartbeats determine the newest version.
+const STARTUP: Span = Span::secs(10);
 
 impl Gateway {
-    /// Notes a sound read of the store, sent at `sent`, that found `config`; `true` if it is new.
+    /// Records a valid read of the store that was sent at `sent` and found `config`; returns
+    /// whether it is a new configuration.
     ///
-    /// A version that is older than one known before is never taken. What the store holds right after a
-    /// return may be older than what it held before, so it proves nothing.
+    /// A version older than the known one is never taken. After a rollback the store may hold an
+    /// older state than before, so reads made shortly after it prove nothing.
     pub fn record_read(&mut self, sent: Time, config: Option<Arc<Config>>) -> bool {
         let known = self.version();
         match config {
             Some(config) if config.version > known => {
                 self.config = Some(config);
-                self.prove(sent);
+                self.record_proof(sent);
                 true
             }
             Some(config) if config.version < known => false,
             _ => {
-                self.prove(sent);
+                self.record_proof(sent);
                 false
             }
         }
     }
 
-    fn prove(&mut self, sent: Time) {
+    fn record_proof(&mut self, sent: Time) {
         if !self.rollback.may_miss_entries(sent) {
             self.freshness.record_proof(sent);
         }
     }
 
-    /// Notes that the store came back from an older copy.
+    /// Records at `now` that the store was rolled back to an older copy.
     pub fn record_rollback(&mut self, now: Time) {
         self.rollback.record(now);
     }
 
-    /// The list of replicas that was asked for at `sent`, with what is known put before it if the
-    /// store may have gone back.
+    /// Corrects a list of replicas that was requested at `sent`: if the store may hold stale
+    /// entries after a rollback, the known state of a replica takes precedence.
     pub fn reconcile(&self, sent: Time, replicas: Vec<Listing>) -> Vec<Listing> {
         match self.rollback.may_hold_stale_entries(sent) {
             true => self.fleet.reconcile(replicas, self.rollback.may_miss_entries(sent)),
@@ -54,19 +59,20 @@
         }
     }
 
-    /// Whether keys may be honoured at `now`.
+    /// Whether the configuration is proved current, so that keys may be accepted at `now`.
     ///
-    /// A gateway that has just started can't know of a rollback right before. If it reads an older version
-    /// than its peers have, revoked keys would be valid again. Later on peers are not believed: a forged
-    /// datagram could make the whole fleet refuse its callers.
+    /// A gateway that has just started may have missed a rollback of the store. If it reads an
+    /// older version than its peers have, revoked keys would be valid again. Later the peers'
+    /// versions are ignored, because a forged datagram could make the whole fleet refuse its
+    /// callers.
     pub(super) fn is_current(&self, now: Time) -> bool {
-        let is_new = now.since(self.began) < STARTING;
-        let knows_newest = !is_new || self.version() >= self.told_version;
+        let is_starting = now.since(self.started_at) < STARTUP;
+        let knows_newest = !is_starting || self.version() >= self.newest_peer_version;
         knows_newest && self.freshness.is_current(now)
     }
 
-    /// Takes the lists of replicas and gateways in, which were asked for at `sent`; returns what
-    /// changed of the replicas.
+    /// Updates the replicas and gateways by lists that were requested at `sent` and received at
+    /// `now`; returns the changes of the replicas.
     pub fn update_lists(
         &mut self,
         sent: Time,
@@ -77,21 +83,21 @@
         let own = self.settings.entry.name.clone();
         self.directory.update(now, gateways.into_iter().filter(|e| e.name != own).collect());
         let absence = self.fleet.absence(&replicas);
-        let keep = self.outage.record_list(sent, now, absence);
-        self.fleet.update(now, replicas, keep)
+        let keep_missing = self.outage.record_list(sent, now, absence);
+        self.fleet.update(now, replicas, keep_missing)
     }
 
-    /// Notes that a peer's proof covers what this gateway knows: nothing had changed at `sent`.
-    /// Returns replicas that are closed by it, as their entries did not come back.
+    /// Records a peer's proof that this gateway's view was current at `sent`. Returns the replicas
+    /// that are closed now, because their entries are still missing after an outage of the store.
     pub fn confirm_view(&mut self, sent: Time) -> Vec<String> {
         self.freshness.record_proof(sent);
         if self.outage.record_reply(sent) { self.fleet.close_retained() } else { Vec::new() }
     }
 
-    /// Notes the version that a peer serves by.
+    /// Records the version of a peer's configuration.
     pub(super) fn receive_version(&mut self, now: Time, version: u64) {
-        if now.since(self.began) < STARTING {
-            self.told_version = self.told_version.max(version);
+        if now.since(self.started_at) < STARTUP {
+            self.newest_peer_version = self.newest_peer_version.max(version);
         }
     }
 }
