--- a/core/src/gateway/delta.rs
+++ b/core/src/gateway/delta.rs
@@ -1,7 +1,7 @@
-//! The difference between two views, as gateways hand it on.
+//! Encodes and applies the difference between two views.
 //!
-//! It names the digests of its base and of its result, so applying it to another base, or a corrupted
-//! copy of it, is detected.
+//! A difference states the digests of its base and of its result, so the application of a corrupted
+//! difference, or of one to another base, is detected.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -23,21 +23,21 @@
 use super::view::Snapshot;
 use super::view::View;
 
-/// Why a difference can't be applied.
+/// Cause of a failure to decode or apply a difference.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// The bytes are not those of a difference.
-    #[error("difference not understood: {0}")]
+    /// The bytes do not encode a difference.
+    #[error("malformed difference: {0}")]
     Malformed(String),
-    /// It begins from something else.
-    #[error("the difference begins from something else")]
+    /// The digest of the difference's base is not that of the known view.
+    #[error("the base of the difference is another view")]
     BaseMismatch,
-    /// What comes out is not what was meant.
-    #[error("the difference leads to something else")]
+    /// The digest of the result is not the one stated by the difference.
+    #[error("the digest of the result differs from the stated one")]
     ResultMismatch,
 }
 
-/// Items of one list that were set, and keys of those that were removed.
+/// Items of one list that were added or replaced, and keys of those that were removed.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct Changes<K, T> {
     set: Vec<T>,
@@ -55,20 +55,20 @@
         changes
     }
 
-    /// The list after the changes; `digest` is carried along.
+    /// Applies the changes to a list and updates `digest` accordingly.
     fn apply(self, old: &[T], digest: &mut u64) -> Vec<T> {
         if self.set.is_empty() && self.removed.is_empty() {
             return old.to_vec();
         }
         let mut items: BTreeMap<K, T> = old.iter().map(|item| (item.key(), item.clone())).collect();
-        let gone: Vec<T> = self.removed.iter().filter_map(|key| items.remove(key)).collect();
-        let mut count = |gone: Option<&T>, come: Option<&T>| {
-            let (less, more) = (gone.map_or(0, view::hash), come.map_or(0, view::hash));
-            *digest = digest.wrapping_sub(less).wrapping_add(more);
+        let removed: Vec<T> = self.removed.iter().filter_map(|key| items.remove(key)).collect();
+        let mut update = |old: Option<&T>, new: Option<&T>| {
+            let (old, new) = (old.map_or(0, view::hash), new.map_or(0, view::hash));
+            *digest = digest.wrapping_sub(old).wrapping_add(new);
         };
-        gone.iter().for_each(|item| count(Some(item), None));
+        removed.iter().for_each(|item| update(Some(item), None));
         for item in self.set {
-            count(items.get(&item.key()), Some(&item));
+            update(items.get(&item.key()), Some(&item));
             items.insert(item.key(), item);
         }
         items.into_values().collect()
@@ -125,14 +125,14 @@
 pub struct Delta {
     from: Digest,
     to: Digest,
-    /// `None` if the configuration is the same, or there is none.
+    /// `None` if the configuration is unchanged or does not exist.
     config: Option<Patch>,
     replicas: Changes<String, Listing>,
     gateways: Changes<String, Entry>,
 }
 
 impl Delta {
-    /// What leads from `old` to `new`.
+    /// The difference that changes `old` into `new`.
     pub fn between(old: Base<'_>, new: &Snapshot) -> Delta {
         let empty = Arc::default();
         let (from, to) = (old.digest, new.digest);
@@ -146,24 +146,25 @@
         }
     }
 
-    /// Whether it begins from nothing, and so holds everything.
+    /// Whether the base is the empty view, so that the difference holds a full view.
     pub fn is_full(&self) -> bool {
         self.from == Digest::default()
     }
 
-    /// What comes out for who knows `known`; parts that begin from nothing need nothing.
+    /// Applies the difference to `known`. Parts with an empty base replace the known parts.
     ///
     /// # Errors
     ///
-    /// That it begins from something else, or that something else comes out than was meant.
+    /// [`Error::BaseMismatch`] if `known` is not the base, [`Error::ResultMismatch`] if the result
+    /// has another digest than the stated one.
     pub fn apply(self, known: Option<&Snapshot>) -> Result<Snapshot, Error> {
         let own = known.map(Snapshot::base).unwrap_or_default();
         let (from, to) = (self.from, self.to);
-        let fits = |from: u64, own: u64| from == 0 || from == own;
-        let fits = fits(from.config, own.digest.config)
-            && fits(from.replicas, own.digest.replicas)
-            && fits(from.gateways, own.digest.gateways);
-        if !fits {
+        let matches = |from: u64, own: u64| from == 0 || from == own;
+        let matches = matches(from.config, own.digest.config)
+            && matches(from.replicas, own.digest.replicas)
+            && matches(from.gateways, own.digest.gateways);
+        if !matches {
             return Err(Error::BaseMismatch);
         }
         let mut digest = from;
@@ -186,25 +187,25 @@
         Ok(Snapshot { view: Arc::new(View { config, replicas, gateways }), digest })
     }
 
-    /// Its bytes.
+    /// Encodes the difference.
     ///
     /// # Errors
     ///
-    /// [`Error::Malformed`], which can't happen for what [`Delta::between`] makes.
+    /// [`Error::Malformed`], which does not occur for a result of [`Delta::between`].
     pub fn encode(&self) -> Result<Vec<u8>, Error> {
         postcard::to_stdvec(self).map_err(|e| Error::Malformed(e.to_string()))
     }
 
-    /// The difference that `bytes` hold, and nothing besides. Lists are made as items come, so that a
-    /// length that is not true takes a megabyte at most.
+    /// Decodes a difference. The decoder allocates list entries as it reads them, so a false length
+    /// takes at most a megabyte of memory.
     ///
     /// # Errors
     ///
-    /// [`Error::Malformed`].
+    /// [`Error::Malformed`] if the bytes are no difference or more bytes follow it.
     pub fn decode(bytes: &[u8]) -> Result<Delta, Error> {
         match postcard::take_from_bytes(bytes) {
             Ok((delta, [])) => Ok(delta),
-            Ok((_, rest)) => Err(Error::Malformed(format!("{} bytes too many", rest.len()))),
+            Ok((_, rest)) => Err(Error::Malformed(format!("{} trailing bytes", rest.len()))),
             Err(e) => Err(Error::Malformed(e.to_string())),
         }
     }
--- a/core/src/gateway/fingerprint.rs
+++ b/core/src/gateway/fingerprint.rs
@@ -1,4 +1,4 @@
-//! Identity of a request across retries.
+//! Fingerprints that identify a request across retries.
 
 use derive_more::Display;
 use serde::Deserialize;
@@ -6,11 +6,11 @@
 
 use crate::rendezvous;
 
-/// Short hash of a request. Retries of one caller with the same method, address and body have the same
-/// one, whatever their ids and gateways.
+/// Short hash of a request. Retries with the same organisation, method, host, path and body have
+/// the same fingerprint, independent of request ids and of the receiving gateway.
 ///
-/// The organisation is part of it, so that one organisation can't quarantine another's requests; API
-/// keys are not, since they may change at any time.
+/// The organisation is included, so that one organisation can't quarantine requests of another. The
+/// API key is not, since keys may be rotated at any time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Display, Serialize, Deserialize)]
 #[display("{_0:016x}")]
 pub struct Fingerprint(pub u64);
@@ -18,11 +18,11 @@
 /// Input of a [`Fingerprint`].
 #[derive(Clone, Copy, Debug)]
 pub struct Source<'a> {
-    /// Organisation by name, if the route asks for one.
+    /// Name of the organisation, if the route requires one.
     pub organisation: Option<&'a str>,
-    /// Method of the call.
+    /// Method of the request.
     pub method: &'a str,
-    /// Host that the caller named.
+    /// Host that the caller requested.
     pub host: &'a str,
     /// Path and query.
     pub path: &'a str,
--- a/core/src/gateway/journal.rs
+++ b/core/src/gateway/journal.rs
@@ -1,4 +1,4 @@
-//! The leaders' journal in the store: what was fixed before it was sent.
+//! Journal of the leaders in the store, in which reports are fixed before they are sent.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -7,19 +7,19 @@
 use super::usage::Report;
 use super::usage::Window;
 
-/// Upper bound on the encoded reports, in bytes; half of what the store takes as one value.
+/// Upper bound on the encoded reports, in bytes; half of the largest value that the store accepts.
 const MAX_BYTES: usize = 512 << 10;
 /// Encoded size of a count without its name, in bytes.
 const COUNT_BYTES: usize = 12;
 
-/// What leaders leave to their successors. It outlasts every gateway.
+/// State that a leader passes on to the next one through the store.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Journal {
     /// Era of the last term.
     pub era: u64,
     /// Usage reports that may have been sent, the oldest first.
     pub reports: Vec<Report>,
-    /// Last window of which a report may have been sent.
+    /// Last window for which a report may have been sent.
     pub last_window: Window,
 }
 
@@ -29,12 +29,12 @@
         self.reports.iter().find(|report| report.window == window)
     }
 
-    /// Whether a report of this window may be fixed: no leader of the journal has sent one.
+    /// Whether a report of this window may be fixed, as none can have been sent.
     pub fn is_open(&self, window: Window) -> bool {
         window > self.last_window
     }
 
-    /// The journal with one more report.
+    /// A copy of the journal with one more report; the oldest ones are removed beyond the limits.
     pub fn with_report(&self, report: Report) -> Journal {
         let mut journal = self.clone();
         journal.last_window = journal.last_window.max(report.window);
@@ -48,13 +48,14 @@
         journal
     }
 
-    /// Size of the encoded reports, about.
+    /// Approximate size of the encoded reports, in bytes.
     fn bytes(&self) -> usize {
         let names = self.reports.iter().flat_map(|report| report.counts.keys());
         names.map(|name| name.len() + COUNT_BYTES).sum()
     }
 
-    /// The journal of a term in `era`, which leaves out all windows up to `last_window`.
+    /// A copy of the journal for a term in `era`, in which no report of a window up to
+    /// `last_window` may be fixed any more.
     pub fn with_term(&self, era: u64, last_window: Window) -> Journal {
         let mut journal = self.clone();
         journal.era = era;
--- a/core/src/gateway/usage.rs
+++ b/core/src/gateway/usage.rs
@@ -1,9 +1,10 @@
-//! Requests that began to run, by organisation and window of true time.
+//! Counts started requests by organisation and by window of synchronised time.
 //!
-//! Each gateway cuts its counts into numbered batches that never change, so a batch that is sent twice,
-//! or by two gateways, counts once. A batch goes to the leader and to a backup until both have
-//! acknowledged it; after a change of leader every holder sends on what the new one may lack. What a
-//! window's report says is fixed by the first conditional write in the store, and only then sent.
+//! Each gateway divides its counts into numbered, immutable batches, so a batch that is sent twice,
+//! or by two gateways, is counted once. A batch is sent to the leader and to a backup until both
+//! have acknowledged it. After a change of leader, every gateway that holds a batch sends it to the
+//! new leader. A window's report is fixed by the first conditional write to the store, and only
+//! then sent.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -14,29 +15,31 @@
 use super::wall::WallTime;
 use crate::time::Span;
 
-/// Windows that are kept, the current one among them: those that may still be reported, and one more.
+/// Number of windows kept, including the current one: those that may still be reported, and one
+/// more.
 const WINDOWS_KEPT: u64 = 6;
-/// Upper bound on batches held, of all gateways together.
+/// Upper bound on batches held, of this and other gateways together.
 const MAX_BATCHES: usize = 65_536;
 /// Upper bound on the encoded size of batches sent in one datagram, in bytes.
 const DATAGRAM_BYTES: usize = 6_000;
-/// Encoded size of a batch without its counts, and of a count without its name, in bytes.
+/// Encoded size of a batch without its counts, in bytes.
 const BATCH_BYTES: usize = 24;
+/// Encoded size of a count without its name, in bytes.
 const COUNT_BYTES: usize = 4;
-/// Part of the time until a report is due that is left for the last batches to arrive.
-const SETTLE_PART: u64 = 3;
-/// Upper bound on the difference between the true times of two gateways.
+/// Divisor of the time until a report is due: the quotient is left for the last batches to arrive.
+const SETTLE_DIVISOR: u64 = 3;
+/// Upper bound on the difference between the synchronised times of two gateways.
 const CLOCK_ERROR: Span = Span::millis(2_500);
-/// Reports remembered in the store, so that a successor can repeat them.
+/// Upper bound on reports in the store, which the next leader may send again.
 pub const MAX_REPORTS: usize = 4;
 
-/// Number of a window since the start of 1970.
+/// Number of a window since the Unix epoch.
 pub type Window = u64;
 
-/// Requests by organisation.
+/// Number of requests by organisation.
 pub type Counts = BTreeMap<String, u64>;
 
-/// When windows begin, and when their reports are due.
+/// Schedule of windows and of their reports.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Schedule {
     /// Length of a window.
@@ -46,7 +49,7 @@
 }
 
 impl Schedule {
-    /// The window in which `wall` lies.
+    /// The window that contains `wall`.
     pub fn window_at(&self, wall: WallTime) -> Window {
         wall / self.window.0.max(1)
     }
@@ -55,9 +58,9 @@
         (window + 1) * self.window.0.max(1)
     }
 
-    /// From when on a window's counts are taken as complete.
-    fn settled_at(&self, window: Window) -> WallTime {
-        self.end(window) + self.due.0 / SETTLE_PART
+    /// Time from which a window's counts are considered complete.
+    fn complete_at(&self, window: Window) -> WallTime {
+        self.end(window) + self.due.0 / SETTLE_DIVISOR
     }
 
     fn due_at(&self, window: Window) -> WallTime {
@@ -65,7 +68,7 @@
     }
 }
 
-/// Names a batch among those of all gateways.
+/// Identity of a batch among those of all gateways.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct BatchId {
     /// Short hash of the gateway's name.
@@ -76,10 +79,10 @@
     pub seq: u32,
 }
 
-/// Requests that began at one gateway within one window.
+/// Requests that one gateway started within one window.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Batch {
-    /// Which batch it is.
+    /// Identity of the batch.
     pub id: BatchId,
     /// The window.
     pub window: Window,
@@ -94,7 +97,7 @@
     }
 }
 
-/// What all gateways together ran in one window.
+/// Requests that all gateways started within one window.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
     /// The window.
@@ -109,36 +112,36 @@
     own: bool,
     /// Short hashes of the gateways that have acknowledged it.
     acked: BTreeSet<u32>,
-    /// Token of the leader that was known when it came; a later one may lack it.
+    /// Token of the leader known when the batch was received; leaders of later terms may lack it.
     token: u64,
 }
 
-/// Counts of this gateway, and those that it holds for others.
+/// Collects the counts of this gateway and holds batches of other gateways.
 #[derive(Debug)]
 pub struct Collector {
     schedule: Schedule,
     gateway: u32,
     incarnation: u64,
     seq: u32,
-    /// Newest window of which a batch was cut after its end.
-    vouched: Window,
+    /// Newest window for which a batch was created after its end.
+    last_closed: Window,
     pending: BTreeMap<Window, BTreeMap<String, u32>>,
     held: BTreeMap<BatchId, Held>,
 }
 
 impl Collector {
-    /// An empty log of this incarnation of a gateway.
+    /// An empty collector for one incarnation of a gateway.
     pub fn new(schedule: Schedule, gateway: u32, incarnation: u64) -> Collector {
         let (pending, held) = (BTreeMap::new(), BTreeMap::new());
-        Collector { schedule, gateway, incarnation, seq: 0, vouched: 0, pending, held }
+        Collector { schedule, gateway, incarnation, seq: 0, last_closed: 0, pending, held }
     }
 
-    /// When windows begin and reports are due.
+    /// Schedule of windows and of their reports.
     pub fn schedule(&self) -> Schedule {
         self.schedule
     }
 
-    /// Counts a request that began to run at `wall`.
+    /// Counts a request that started at `wall`.
     pub fn record(&mut self, wall: WallTime, organisation: &str) {
         let counts = self.pending.entry(self.schedule.window_at(wall)).or_default();
         match counts.get_mut(organisation) {
@@ -149,13 +152,14 @@
         }
     }
 
-    /// Cuts what was counted since the last time into batches, and forgets old windows.
+    /// Moves the counts since the last flush into batches and removes batches of expired windows.
+    /// `token` is the token of the known leader.
     pub fn flush(&mut self, wall: WallTime, token: u64) {
         let current = self.schedule.window_at(wall);
         // An empty batch distinguishes a window without requests from one whose counts are lost.
         let previous = current.saturating_sub(1);
-        if previous > self.vouched {
-            self.vouched = previous;
+        if previous > self.last_closed {
+            self.last_closed = previous;
             self.pending.entry(previous).or_default();
         }
         for (window, counts) in std::mem::take(&mut self.pending) {
@@ -164,10 +168,10 @@
                 batch.counts.push((name, count));
                 if batch.bytes() >= DATAGRAM_BYTES / 2 {
                     let next = self.next_batch(window);
-                    self.hold(std::mem::replace(&mut batch, next), true, token);
+                    self.insert(std::mem::replace(&mut batch, next), true, token);
                 }
             }
-            self.hold(batch, true, token);
+            self.insert(batch, true, token);
         }
         let oldest = (current + 1).saturating_sub(WINDOWS_KEPT);
         self.held.retain(|_, held| held.batch.window >= oldest);
@@ -179,19 +183,19 @@
         Batch { id, window, counts: Vec::new() }
     }
 
-    fn hold(&mut self, batch: Batch, own: bool, token: u64) {
+    fn insert(&mut self, batch: Batch, own: bool, token: u64) {
         if self.held.len() < MAX_BATCHES {
             let held = Held { batch, own, acked: BTreeSet::new(), token };
             self.held.entry(held.batch.id).or_insert(held);
         }
     }
 
-    /// Takes in batches from a gateway; returns which of them need not be sent here again.
+    /// Stores batches from a gateway and returns those to acknowledge.
     pub fn merge(&mut self, from: u32, token: u64, batches: Vec<Batch>) -> Vec<BatchId> {
         let mut acks = Vec::with_capacity(batches.len());
         for batch in batches {
             let id = batch.id;
-            self.hold(batch, false, token);
+            self.insert(batch, false, token);
             if let Some(held) = self.held.get_mut(&id) {
                 held.acked.insert(from);
                 acks.push(id);
@@ -200,7 +204,7 @@
         acks
     }
 
-    /// Records that a gateway has these batches.
+    /// Records that a gateway has acknowledged these batches.
     pub fn record_acks(&mut self, by: u32, ids: &[BatchId]) {
         for id in ids {
             if let Some(held) = self.held.get_mut(id) {
@@ -209,7 +213,7 @@
         }
     }
 
-    /// Batches to send to the leader, which began its term with `token`.
+    /// Batches to send to the leader of the term with `token`.
     pub fn pending_for_leader(&self, leader: u32, token: u64) -> Vec<Batch> {
         self.unacked(leader, |held| held.own || held.token < token)
     }
@@ -219,13 +223,13 @@
         self.unacked(backup, |held| held.own)
     }
 
-    fn unacked(&self, by: u32, wanted: impl Fn(&Held) -> bool) -> Vec<Batch> {
+    fn unacked(&self, by: u32, filter: impl Fn(&Held) -> bool) -> Vec<Batch> {
         let mut bytes = 0;
-        // The newest windows come last: what is due first goes first.
+        // Batches of older windows are sent first, as their reports are due first.
         let mut missing: Vec<&Batch> = self
             .held
             .values()
-            .filter(|held| wanted(held) && !held.acked.contains(&by))
+            .filter(|held| filter(held) && !held.acked.contains(&by))
             .map(|held| &held.batch)
             .collect();
         missing.sort_by_key(|batch| batch.window);
@@ -236,24 +240,25 @@
         missing.into_iter().take_while(fits).cloned().collect()
     }
 
-    /// The newest window of which a leader may have sent a report by `wall`, with clocks that differ.
+    /// The newest window for which any leader may have sent a report by `wall`, taking into account
+    /// [`CLOCK_ERROR`].
     pub fn last_possibly_reported(&self, wall: WallTime) -> Window {
         let current = self.schedule.window_at(wall + CLOCK_ERROR.0);
         let oldest = current.saturating_sub(WINDOWS_KEPT);
-        let settled = |w: &Window| self.schedule.settled_at(*w) <= wall + CLOCK_ERROR.0;
-        (oldest..current).filter(settled).max().unwrap_or(oldest)
+        let is_complete = |w: &Window| self.schedule.complete_at(*w) <= wall + CLOCK_ERROR.0;
+        (oldest..current).filter(is_complete).max().unwrap_or(oldest)
     }
 
     /// Windows that are complete and not overdue at `wall`, the oldest first.
     pub fn reportable(&self, wall: WallTime) -> Vec<Window> {
         let current = self.schedule.window_at(wall);
         let oldest = current.saturating_sub(WINDOWS_KEPT);
-        let is_due =
-            |w: &Window| self.schedule.settled_at(*w) <= wall && wall < self.schedule.due_at(*w);
-        (oldest..current).filter(is_due).collect()
+        let is_reportable =
+            |w: &Window| self.schedule.complete_at(*w) <= wall && wall < self.schedule.due_at(*w);
+        (oldest..current).filter(is_reportable).collect()
     }
 
-    /// Requests of a window as far as they are known here.
+    /// Requests of a window, as far as this gateway has received batches.
     pub fn report(&self, window: Window) -> Report {
         let mut counts = Counts::new();
         for held in self.held.values().filter(|held| held.batch.window == window) {
@@ -264,7 +269,7 @@
         Report { window, counts }
     }
 
-    /// Gateways of which a batch of a window is here.
+    /// Number of gateways with at least one received batch of a window.
     pub fn reporting_gateways(&self, window: Window) -> usize {
         let ids = self.held.values().filter(|held| held.batch.window == window);
         ids.map(|held| held.batch.id.gateway).collect::<BTreeSet<u32>>().len()
--- a/core/src/gateway/view.rs
+++ b/core/src/gateway/view.rs
@@ -1,7 +1,7 @@
-//! What a gateway reads of the store, with digests that cost little to keep up.
+//! Views of the store as read by a gateway, with digests that are updated incrementally.
 //!
-//! The digest of a part is the sum of the hashes of its items, so it does not depend on their order,
-//! and a change costs as much as the items that it touches.
+//! The digest of a part is the sum of the hashes of its items. It does not depend on their order,
+//! and the cost of an update is proportional to the number of changed items.
 
 use std::cmp::Ordering;
 use std::collections::VecDeque;
@@ -19,10 +19,10 @@
 use super::fleet::Listing;
 use crate::rendezvous;
 
-/// Everything the store holds for a gateway, read at one moment.
+/// Everything that a gateway reads from the store, at one point in time.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct View {
-    /// Newest configuration; `None` if none was ever written.
+    /// Newest configuration; `None` if none was written yet.
     pub config: Option<Arc<Config>>,
     /// Replicas of all services.
     pub replicas: Vec<Listing>,
@@ -30,31 +30,31 @@
     pub gateways: Vec<Entry>,
 }
 
-/// Digests of a view's parts; that of a part without any item is zero.
+/// Digests of a view's parts; the digest of an empty part is zero.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Digest {
-    /// Of the configuration.
+    /// Digest of the configuration.
     pub config: u64,
-    /// Of the replicas.
+    /// Digest of the replicas.
     pub replicas: u64,
-    /// Of the gateways.
+    /// Digest of the gateways.
     pub gateways: u64,
 }
 
 /// A view with its digest.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Snapshot {
-    /// The view; its lists are in order and hold each item once.
+    /// The view; its lists are sorted and hold each item once.
     pub view: Arc<View>,
-    /// Its digest.
+    /// Digest of the view.
     pub digest: Digest,
 }
 
-/// Something that has a place of its own in a view.
+/// An item of a list in a view, identified by its key.
 pub(super) trait Item: Clone + PartialEq + Serialize {
-    /// Identity among items of its kind.
+    /// Identity among items of the same kind.
     type Key: Ord;
-    /// Kind of item, so that equal bytes of different kinds count as different.
+    /// Kind of item; it is hashed, so that equal bytes of different kinds have different hashes.
     const KIND: u8;
 
     fn key(&self) -> Self::Key;
@@ -126,11 +126,11 @@
     }
 }
 
-/// Kind of the part of a configuration that is no item of a list.
+/// Kind of the fields of a configuration outside its lists.
 const HEADER: u8 = 0;
 
 fn hash_bytes(kind: u8, item: &impl Serialize) -> u64 {
-    // Encoding to memory can't fail for these types; an empty encoding would only show as a difference.
+    // Encoding to memory can't fail for these types; an empty encoding would only change the hash.
     let bytes = postcard::to_stdvec(item).unwrap_or_default();
     rendezvous::hash(&[&[kind], &bytes])
 }
@@ -140,13 +140,13 @@
     hash_bytes(T::KIND, item)
 }
 
-/// Hash of what a configuration holds besides its lists.
+/// Hash of the fields of a configuration outside its lists.
 pub(super) fn hash_header(version: u64, limits: &Limits) -> u64 {
     hash_bytes(HEADER, &(version, limits))
 }
 
-/// Goes through two ordered lists together, and shows each item that is not the same in both.
-pub(super) fn diff<T: Item>(old: &[T], new: &[T], mut see: impl FnMut(Option<&T>, Option<&T>)) {
+/// Compares two sorted lists and passes the old and new version of each differing item to `visit`.
+pub(super) fn diff<T: Item>(old: &[T], new: &[T], mut visit: impl FnMut(Option<&T>, Option<&T>)) {
     let (mut olds, mut news) = (old.iter().peekable(), new.iter().peekable());
     loop {
         let order = match (olds.peek(), news.peek()) {
@@ -158,13 +158,13 @@
         let o = if order.is_le() { olds.next() } else { None };
         let n = if order.is_ge() { news.next() } else { None };
         if o != n {
-            see(o, n);
+            visit(o, n);
         }
     }
 }
 
-fn sum<T: Item>(before: u64, old: &[T], new: &[T]) -> u64 {
-    let mut sum = before;
+fn sum<T: Item>(initial: u64, old: &[T], new: &[T]) -> u64 {
+    let mut sum = initial;
     diff(old, new, |o, n| {
         sum = sum.wrapping_sub(o.map_or(0, hash)).wrapping_add(n.map_or(0, hash));
     });
@@ -178,19 +178,20 @@
         .wrapping_add(hash_header(config.version, &config.limits))
 }
 
-fn ordered<T: Item>(items: &mut Vec<T>) {
+fn sort_unique<T: Item>(items: &mut Vec<T>) {
     items.sort_by(T::order);
     items.dedup_by(|a, b| a.order(b).is_eq());
 }
 
 impl Snapshot {
-    /// `view` with its digest, reckoned from what was known `before`.
-    pub fn new(mut view: View, before: Option<&Snapshot>) -> Snapshot {
-        ordered(&mut view.replicas);
-        ordered(&mut view.gateways);
+    /// A snapshot of `view`, with the digest computed from the differences to the previous
+    /// snapshot.
+    pub fn new(mut view: View, previous: Option<&Snapshot>) -> Snapshot {
+        sort_unique(&mut view.replicas);
+        sort_unique(&mut view.gateways);
         let empty = Snapshot { view: Arc::default(), digest: Digest::default() };
-        let before = before.unwrap_or(&empty);
-        let (old, d) = (&before.view, before.digest);
+        let previous = previous.unwrap_or(&empty);
+        let (old, d) = (&previous.view, previous.digest);
         let config = match (&old.config, &view.config) {
             (Some(old), Some(new)) if Arc::ptr_eq(old, new) => d.config,
             (_, new) => new.as_ref().map_or(0, |config| config_sum(config)),
@@ -203,7 +204,7 @@
         Snapshot { view: Arc::new(view), digest }
     }
 
-    /// The whole of it, as something to begin from.
+    /// The whole snapshot as the base of a difference.
     pub fn base(&self) -> Base<'_> {
         Base {
             config: self.view.config.as_ref(),
@@ -214,44 +215,44 @@
     }
 }
 
-/// What a difference begins from: parts of one view or of several, or none.
+/// Base of a difference: parts of one or several views, or none.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Base<'a> {
     /// Configuration.
     pub config: Option<&'a Arc<Config>>,
-    /// Replicas in order.
+    /// Replicas, sorted.
     pub replicas: &'a [Listing],
-    /// Gateways in order.
+    /// Gateways, sorted.
     pub gateways: &'a [Entry],
     /// Digest of these parts.
     pub digest: Digest,
 }
 
-/// The last views of a gateway, the newest first.
+/// The latest snapshots of a gateway, the newest first.
 #[derive(Debug, Default)]
 pub struct History {
-    views: VecDeque<Snapshot>,
+    snapshots: VecDeque<Snapshot>,
 }
 
 impl History {
-    /// The newest view.
+    /// The newest snapshot.
     pub fn newest(&self) -> Option<&Snapshot> {
-        self.views.front()
+        self.snapshots.front()
     }
 
-    /// Takes a view in, unless it is as the newest; keeps `most` of them.
-    pub fn push(&mut self, known: Snapshot, most: usize) {
-        if self.newest().is_none_or(|newest| newest.digest != known.digest) {
-            self.views.push_front(known);
+    /// Adds a snapshot, unless it equals the newest one, and keeps at most `capacity` of them.
+    pub fn push(&mut self, snapshot: Snapshot, capacity: usize) {
+        if self.newest().is_none_or(|newest| newest.digest != snapshot.digest) {
+            self.snapshots.push_front(snapshot);
         }
-        self.views.truncate(most.max(1));
+        self.snapshots.truncate(capacity.max(1));
     }
 
-    /// The parts that a view of this digest had, as far as they are remembered.
+    /// The parts with these digests, as far as snapshots in the history have them.
     pub fn base(&self, digest: Digest) -> Base<'_> {
         let mut base = Base::default();
-        for known in &self.views {
-            let (d, view) = (known.digest, &known.view);
+        for snapshot in &self.snapshots {
+            let (d, view) = (snapshot.digest, &snapshot.view);
             if d.config == digest.config {
                 (base.config, base.digest.config) = (view.config.as_ref(), d.config);
             }
--- a/core/src/incarnation.rs
+++ b/core/src/incarnation.rs
@@ -1,8 +1,8 @@
-//! One run of a replica, told apart from earlier and later runs under the same identity.
+//! Identifies one incarnation of a replica, from one start of its process to the next.
 //!
-//! A replica that starts again may keep its identity. It holds nothing of what it held before, so
-//! whatever was learnt of one run must never be taken for another's. An identity alone therefore
-//! names no run: it takes the start as well.
+//! A restarted replica may keep its id, but none of its earlier state. State recorded for one
+//! incarnation must not be applied to another, so an incarnation is identified by the id together
+//! with the start time.
 
 use derive_more::Display;
 use serde::Deserialize;
@@ -10,39 +10,38 @@
 
 use crate::rendezvous;
 
-/// A run of a replica.
+/// An incarnation of a replica.
 ///
-/// Starts are only compared for equality. The host that states them may have a clock that is set
-/// back or lies in the future, so which of two runs is there now is told by the order of the lists
-/// that name them, never by which start is the greater.
+/// Start times are only compared for equality. The clock of the host that reports them may be wrong
+/// or set back, so the current one of two incarnations is the one in the newer list of replicas,
+/// not the one with the greater start time.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Display, Serialize, Deserialize)]
 #[display("{id}")]
 pub struct Incarnation {
-    /// Identity, which outlives the run.
+    /// Id of the replica, which may be the same after a restart.
     pub id: String,
-    /// Start in Unix milliseconds, if it is stated.
+    /// Start time in Unix milliseconds, if it is reported.
     #[serde(rename = "born")]
     pub start_ms: Option<u64>,
 }
 
-/// Short hash of a run, unlike that of any other run of the same replica: what is said of one run
-/// is never taken for another's.
+/// Short hash of an incarnation, which distinguishes it from others of the same replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Display, Serialize, Deserialize)]
 #[display("{_0:08x}")]
 pub struct Digest(pub u32);
 
 impl Incarnation {
-    /// A run without a stated start.
+    /// An incarnation without a reported start time.
     pub fn without_start(id: &str) -> Incarnation {
         Incarnation { id: id.to_owned(), start_ms: None }
     }
 
-    /// The run that began at `start_ms`.
+    /// The incarnation that started at `start_ms`, in Unix milliseconds.
     pub fn new(id: &str, start_ms: u64) -> Incarnation {
         Incarnation { id: id.to_owned(), start_ms: Some(start_ms) }
     }
 
-    /// Hash of identity and start.
+    /// Hash of the id and the start time.
     pub fn hash(&self) -> u64 {
         match self.start_ms {
             Some(start_ms) => rendezvous::hash(&[self.id.as_bytes(), &start_ms.to_le_bytes()]),
@@ -50,7 +49,7 @@
         }
     }
 
-    /// Short hash, by which gateways speak of the run.
+    /// Short hash that identifies the incarnation in messages between gateways.
     pub fn digest(&self) -> Digest {
         Digest(self.hash() as u32)
     }
--- a/core/tests/gateway/delta.rs
+++ b/core/tests/gateway/delta.rs
@@ -33,7 +33,7 @@
 
 type Items = Vec<(u8, u8)>;
 
-fn some_route((at, variant): (u8, u8)) -> Route {
+fn make_route((at, variant): (u8, u8)) -> Route {
     Route {
         name: format!("r{at}"),
         host: format!("h{}", at % 3),
@@ -44,11 +44,11 @@
     }
 }
 
-/// A configuration of some routes, services and keys; organisations take keys from one another.
-fn some_config((version, routes, services, keys): (u64, Items, Items, Items)) -> Arc<Config> {
+/// A configuration with routes, services and keys; a key may be listed for several organisations.
+fn make_config((version, routes, services, keys): (u64, Items, Items, Items)) -> Arc<Config> {
     let mut config = Config::new(version, Limits { body: version as usize, ..Limits::default() });
     for route in routes {
-        config = config.with_route(some_route(route));
+        config = config.with_route(make_route(route));
     }
     for (at, variant) in services {
         let name = format!("s{at}");
@@ -66,7 +66,7 @@
 }
 
 fn configs() -> impl Strategy<Value = Arc<Config>> {
-    (1..9_u64, items(), items(), items()).prop_map(some_config)
+    (1..9_u64, items(), items(), items()).prop_map(make_config)
 }
 
 fn views() -> impl Strategy<Value = View> {
@@ -89,18 +89,18 @@
 
 proptest! {
     #[test]
-    fn a_difference_applied_to_the_old_view_gives_the_new(a in views(), b in views()) {
+    fn a_difference_applied_to_the_old_view_gives_the_new_one(a in views(), b in views()) {
         let a = Snapshot::new(a, None);
         let b = Snapshot::new(b, None);
         let bytes = Delta::between(a.base(), &b).encode().unwrap();
 
-        let got = Delta::decode(&bytes).unwrap().apply(Some(&a));
+        let result = Delta::decode(&bytes).unwrap().apply(Some(&a));
 
-        prop_assert_eq!(got, Ok(b));
+        prop_assert_eq!(result, Ok(b));
     }
 
     #[test]
-    fn a_difference_from_nothing_gives_the_view_whatever_was_known(a in views(), b in views()) {
+    fn a_full_difference_applies_to_any_view(a in views(), b in views()) {
         let a = Snapshot::new(a, None);
         let b = Snapshot::new(b, None);
         let delta = Delta::between(Base::default(), &b);
@@ -110,16 +110,16 @@
     }
 
     #[test]
-    fn a_digest_does_not_depend_on_what_was_known_before(a in views(), b in views()) {
+    fn an_incremental_digest_equals_a_full_one(a in views(), b in views()) {
         let before = Snapshot::new(a, None);
 
-        let reckoned = Snapshot::new(b.clone(), Some(&before));
+        let incremental = Snapshot::new(b.clone(), Some(&before));
 
-        prop_assert_eq!(reckoned, Snapshot::new(b, None));
+        prop_assert_eq!(incremental, Snapshot::new(b, None));
     }
 
     #[test]
-    fn a_damaged_difference_never_gives_another_view(
+    fn a_corrupted_difference_never_gives_another_view(
         a in views(),
         b in views(),
         at in proptest::prelude::any::<Index>(),
@@ -131,9 +131,9 @@
         let at = at.index(bytes.len());
         bytes[at] ^= 1 << bit;
 
-        let got = Delta::decode(&bytes).and_then(|delta| delta.apply(Some(&a)));
+        let result = Delta::decode(&bytes).and_then(|delta| delta.apply(Some(&a)));
 
-        prop_assert!(got.is_err() || got == Ok(b));
+        prop_assert!(result.is_err() || result == Ok(b));
     }
 
     #[test]
@@ -145,41 +145,41 @@
         let (a, b) = (Snapshot::new(a, None), Snapshot::new(b, None));
         let bytes = Delta::between(a.base(), &b).encode().unwrap();
 
-        let got = Delta::decode(&bytes[..at.index(bytes.len())]);
+        let result = Delta::decode(&bytes[..at.index(bytes.len())]);
 
-        prop_assert!(matches!(got, Err(Error::Malformed(_))));
+        prop_assert!(matches!(result, Err(Error::Malformed(_))));
     }
 
     #[test]
-    fn any_bytes_are_no_reason_to_panic(bytes in vec(proptest::prelude::any::<u8>(), 0..300)) {
-        let got = Delta::decode(&bytes).and_then(|delta| delta.apply(None));
+    fn arbitrary_bytes_do_not_panic(bytes in vec(proptest::prelude::any::<u8>(), 0..300)) {
+        let result = Delta::decode(&bytes).and_then(|delta| delta.apply(None));
 
-        // Nothing is the one view that short bytes can hold: its digest is zero.
-        prop_assert!(got.is_err() || got == Ok(Snapshot::new(View::default(), None)));
+        // Of all views only the empty one, whose digest is zero, fits into so few bytes.
+        prop_assert!(result.is_err() || result == Ok(Snapshot::new(View::default(), None)));
     }
 }
 
 #[test]
-fn bytes_behind_a_difference_are_an_error() {
+fn trailing_bytes_are_an_error() {
     let known = Snapshot::new(View::default(), None);
     let mut bytes = Delta::between(Base::default(), &known).encode().unwrap();
     bytes.push(0);
 
-    let got = Delta::decode(&bytes);
+    let result = Delta::decode(&bytes);
 
-    assert!(matches!(got, Err(Error::Malformed(_))), "{got:?}");
+    assert!(matches!(result, Err(Error::Malformed(_))), "{result:?}");
 }
 
-/// A few bytes that announce billions of items would take all memory if they were believed.
+/// A few bytes that state a list of billions of items must not make the decoder allocate them.
 #[test]
-fn a_difference_that_announces_more_than_it_holds_is_an_error() {
+fn a_false_list_length_is_an_error() {
     let mut bytes = vec![0; 7];
     bytes.extend([0xff; 9]);
     bytes.push(1);
 
-    let got = Delta::decode(&bytes);
+    let result = Delta::decode(&bytes);
 
-    assert!(matches!(got, Err(Error::Malformed(_))), "{got:?}");
+    assert!(matches!(result, Err(Error::Malformed(_))), "{result:?}");
 }
 
 #[test]
@@ -189,14 +189,14 @@
         (Snapshot::new(view(3), None), Snapshot::new(view(4), None), Snapshot::new(view(5), None));
     let delta = Delta::between(a.base(), &b);
 
-    let got = delta.clone().apply(Some(&c));
+    let result = delta.clone().apply(Some(&c));
 
-    assert_eq!(got, Err(Error::BaseMismatch));
+    assert_eq!(result, Err(Error::BaseMismatch));
     assert_eq!(delta.apply(None), Err(Error::BaseMismatch));
 }
 
 #[test]
-fn a_change_takes_bytes_in_proportion_to_itself() {
+fn the_size_of_a_difference_is_proportional_to_the_change() {
     let view = |count| View { replicas: listings(count), ..View::default() };
     let (a, b) = (Snapshot::new(view(3_000), None), Snapshot::new(view(2_999), None));
 
@@ -206,22 +206,22 @@
 }
 
 #[test]
-fn a_history_knows_parts_of_different_views() {
-    let config = |version| Some(some_config((version, Items::new(), Items::new(), Items::new())));
+fn a_base_combines_parts_of_different_snapshots() {
+    let config = |version| Some(make_config((version, Items::new(), Items::new(), Items::new())));
     let view = |version, count| View {
         config: config(version),
         replicas: listings(count),
         gateways: Vec::new(),
     };
-    let known = [(1, 3), (2, 4), (3, 5)].map(|(v, c)| Snapshot::new(view(v, c), None));
+    let snapshots = [(1, 3), (2, 4), (3, 5)].map(|(v, c)| Snapshot::new(view(v, c), None));
     let mut history = History::default();
-    known.iter().for_each(|k| history.push(k.clone(), 2));
-    let (old, middle, newest) = (known[0].digest, known[1].digest, known[2].digest);
+    snapshots.iter().for_each(|s| history.push(s.clone(), 2));
+    let (old, middle, newest) = (snapshots[0].digest, snapshots[1].digest, snapshots[2].digest);
 
-    let mixed = history.base(Digest { config: middle.config, ..newest }).digest;
-    let forgotten = history.base(Digest { config: old.config, ..newest }).digest;
+    let combined = history.base(Digest { config: middle.config, ..newest }).digest;
+    let partial = history.base(Digest { config: old.config, ..newest }).digest;
 
-    assert_eq!(mixed, Digest { config: middle.config, ..newest });
-    assert_eq!(forgotten, Digest { config: 0, ..newest });
-    assert_eq!(history.newest(), Some(&known[2]));
+    assert_eq!(combined, Digest { config: middle.config, ..newest });
+    assert_eq!(partial, Digest { config: 0, ..newest });
+    assert_eq!(history.newest(), Some(&snapshots[2]));
 }
--- a/core/tests/gateway/usage.rs
+++ b/core/tests/gateway/usage.rs
@@ -1,4 +1,5 @@
-//! Counts of requests that are neither lost nor counted twice, and reports that never differ.
+//! Collection and reporting of usage: no request is lost or counted twice, and reports are fixed
+//! once.
 
 use std::collections::BTreeMap;
 
@@ -14,7 +15,7 @@
 use proptest::prelude::*;
 
 const SCHEDULE: Schedule = Schedule { window: Span::secs(5), due: Span::secs(10) };
-/// A moment in the middle of window 1,000.
+/// A time within window 1,000, in microseconds since the Unix epoch.
 const NOW: u64 = 5_002_000_000;
 const WINDOW: Window = 1_000;
 
@@ -26,7 +27,7 @@
     pairs.iter().map(|(name, count)| ((*name).to_owned(), *count)).collect()
 }
 
-/// A collector with `count` requests of one organisation, cut into a batch.
+/// A collector with a batch of `count` requests of one organisation.
 fn collector_with(gateway: u32, count: u32) -> Collector {
     let mut collector = collector(gateway);
     (0..count).for_each(|_| collector.record(NOW, "museum"));
@@ -35,7 +36,7 @@
 }
 
 #[test]
-fn a_batch_that_comes_twice_counts_once() {
+fn a_batch_received_twice_counts_once() {
     let batches = collector_with(1, 3).pending_for_leader(9, 1);
     let mut leader = collector(9);
 
@@ -61,7 +62,7 @@
 }
 
 #[test]
-fn a_backup_hands_the_counts_of_a_killed_gateway_to_the_next_leader() {
+fn a_backup_sends_the_counts_of_a_killed_gateway_to_the_next_leader() {
     let batches = collector_with(1, 2).pending_for_backup(2);
     let mut backup = collector(2);
     backup.merge(1, 5, batches);
@@ -74,7 +75,7 @@
 }
 
 #[test]
-fn requests_count_in_the_window_in_which_they_began() {
+fn requests_count_in_the_window_in_which_they_started() {
     let mut gateway = collector(1);
     let boundary = (WINDOW + 1) * SCHEDULE.window.0;
 
@@ -87,7 +88,7 @@
 }
 
 #[test]
-fn windows_are_reported_once_complete_and_not_when_overdue() {
+fn windows_are_reportable_from_complete_to_overdue() {
     let gateway = collector(1);
     let end = (WINDOW + 1) * SCHEDULE.window.0;
 
@@ -97,17 +98,17 @@
 }
 
 #[test]
-fn old_windows_are_forgotten() {
+fn batches_of_old_windows_are_removed() {
     let mut gateway = collector_with(1, 1);
 
     gateway.flush(NOW + 60_000_000, 0);
 
-    let left = gateway.pending_for_leader(9, 1);
-    assert!(left.iter().all(|batch| batch.window > WINDOW));
+    let remaining = gateway.pending_for_leader(9, 1);
+    assert!(remaining.iter().all(|batch| batch.window > WINDOW));
 }
 
 #[test]
-fn a_window_without_requests_is_vouched_for() {
+fn a_window_without_requests_has_an_empty_batch() {
     let mut gateway = collector(1);
 
     gateway.flush(NOW + SCHEDULE.window.0, 0);
@@ -161,7 +162,7 @@
 }
 
 #[test]
-fn the_journal_fits_into_one_value_with_as_many_organisations_as_the_fleet_may_have() {
+fn the_journal_fits_into_one_value_with_18_000_organisations() {
     let counts: Counts = (0..18_000).map(|i| (format!("organisation-{i}"), 100_000)).collect();
     let report = |window| Report { window, counts: counts.clone() };
 
@@ -172,7 +173,7 @@
 }
 
 proptest! {
-    /// Whatever order batches and repeats come in, each request counts once.
+    /// Each request counts once, for any order and repetition of batches.
     #[test]
     fn counts_do_not_depend_on_the_order_of_messages(
         gateways in prop::collection::vec((1_u32..5, 0_u64..4, 1_u32..20), 1..40),
