--- a/gateway/src/channel.rs
+++ b/gateway/src/channel.rs
@@ -1,9 +1,9 @@
-//! Connections to replicas.
+//! Opens connections to replicas and pools idle ones.
 //!
-//! A call that may run once at a plain service always gets a connection of its own: on a kept one
-//! that the replica has just dropped, nobody could tell whether it had run. Calls that may be
-//! repeated and streams of engines use kept connections: six gateways before nine engines open two
-//! in five fewer for it.
+//! A call that is not idempotent and goes to a plain service always gets a new connection: if the
+//! replica had just closed a pooled one, it would be unknown whether the call ran. Idempotent calls
+//! and streams of engines use pooled connections, with which six gateways before nine engines open
+//! two fifths fewer.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -25,17 +25,17 @@
 
 use crate::clock;
 
-/// Longest wait for a connection: many round trips between failure domains, and well within the
-/// shortest objective.
-const CONNECT: Duration = Duration::from_millis(250);
-/// Data that is not acknowledged for this long means that the peer is gone.
-const UNACKNOWLEDGED: Duration = Duration::from_millis(1_500);
-/// Longest rest of a kept connection; replicas forget them after seconds.
-const REST: Span = Span::millis(2_500);
-/// Kept connections of one replica.
-const KEPT: usize = 6;
+/// Timeout of connecting: many round trips between failure domains, and well within the shortest
+/// objective.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
+/// Time without acknowledgement of sent data after which a peer counts as gone.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Longest time that a pooled connection stays idle; replicas close idle ones after seconds.
+const MAX_IDLE: Span = Span::millis(2_500);
+/// Most pooled connections of one replica.
+const MAX_IDLE_PER_REPLICA: usize = 6;
 
-/// An open connection; dropping it closes it at once, and the replica stops its work.
+/// An open connection. Dropping it closes it at once, which makes the replica stop its work.
 #[derive(Debug)]
 pub struct Channel {
     /// Sends requests.
@@ -53,24 +53,25 @@
 ///
 /// # Errors
 ///
-/// What the system says, or that it took too long.
+/// Returns an error if the address is malformed, the system reports one, or connecting takes longer
+/// than 250 ms.
 pub async fn open(address: &str) -> std::io::Result<Channel> {
     let address: SocketAddr = address.parse().map_err(std::io::Error::other)?;
-    let stream = tokio::time::timeout(CONNECT, TcpStream::connect(address)).await??;
+    let stream = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await??;
     stream.set_nodelay(true)?;
-    SockRef::from(&stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED))?;
+    SockRef::from(&stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))?;
     let handshake = http1::Builder::new().handshake(TokioIo::new(stream)).await;
     let (sender, connection) = handshake.map_err(std::io::Error::other)?;
     let task = tokio::task::spawn_local(async move {
-        // Its error reaches the caller of `send_request`.
+        // An error is returned by `send_request` too.
         let _ = connection.await;
     });
     Ok(Channel { sender, task: task.abort_handle() })
 }
 
-/// How long a connection may rest whose replica closes it after `keep_alive` seconds, if stated.
+/// Returns how long a connection may stay idle if its replica closes it after `keep_alive` seconds.
 pub fn idle_limit(keep_alive: Option<u64>) -> Span {
-    keep_alive.map_or(REST, |s| Span(Span::secs(s).0 / 4 * 3)).min(REST)
+    keep_alive.map_or(MAX_IDLE, |s| Span(Span::secs(s).0 / 4 * 3)).min(MAX_IDLE)
 }
 
 #[derive(Debug)]
@@ -79,55 +80,55 @@
     until: Time,
 }
 
-/// Kept connections by run of the replica.
+/// Idle connections by incarnation of the replica.
 ///
-/// A replica may start again under its identity and address. A call that is sent on a connection
-/// to its former run is lost without anybody knowing whether it ran; a key of the former run finds
-/// none, and neither does one of the next run find those of the former.
+/// A replica may restart with the same identity and address. If a call were sent on a connection to
+/// the former incarnation, it would be lost and unknown whether it ran. The key of one incarnation
+/// therefore finds no connection to another.
 #[derive(Debug, Default)]
 pub struct Pool {
     idle: RefCell<BTreeMap<Key<Replica>, Vec<Idle>>>,
 }
 
 impl Pool {
-    /// A kept connection to `replica` that looks open.
+    /// Takes an idle connection to `replica` that appears to be open.
     pub fn take(&self, replica: Key<Replica>) -> Option<Channel> {
         let mut idle = self.idle.borrow_mut();
-        let kept = idle.get_mut(&replica)?;
+        let connections = idle.get_mut(&replica)?;
         let now = clock::now();
-        while let Some(r) = kept.pop() {
-            if now < r.until && r.channel.sender.is_ready() {
-                return Some(r.channel);
+        while let Some(c) = connections.pop() {
+            if now < c.until && c.channel.sender.is_ready() {
+                return Some(c.channel);
             }
         }
         None
     }
 
-    /// Keeps a connection whose answer has been read whole.
+    /// Returns a connection to the pool after its response has been read completely.
     pub fn put(&self, replica: Key<Replica>, channel: Channel, keep_alive: Option<u64>) {
         let now = clock::now();
         let mut idle = self.idle.borrow_mut();
-        idle.retain(|_, kept| {
-            kept.retain(|r| now < r.until && !r.channel.sender.is_closed());
-            !kept.is_empty()
+        idle.retain(|_, connections| {
+            connections.retain(|c| now < c.until && !c.channel.sender.is_closed());
+            !connections.is_empty()
         });
-        let kept = idle.entry(replica).or_default();
-        if kept.len() < KEPT && !channel.sender.is_closed() {
-            kept.push(Idle { channel, until: now + idle_limit(keep_alive) });
+        let connections = idle.entry(replica).or_default();
+        if connections.len() < MAX_IDLE_PER_REPLICA && !channel.sender.is_closed() {
+            connections.push(Idle { channel, until: now + idle_limit(keep_alive) });
         }
     }
 
-    /// Closes the connections to replicas that are gone.
-    pub fn retain(&self, mut is_there: impl FnMut(Key<Replica>) -> bool) {
-        self.idle.borrow_mut().retain(|replica, _| is_there(*replica));
+    /// Closes the connections to replicas that are no longer listed.
+    pub fn retain(&self, mut is_listed: impl FnMut(Key<Replica>) -> bool) {
+        self.idle.borrow_mut().retain(|replica, _| is_listed(*replica));
     }
 
-    /// Kept connections.
+    /// Number of pooled connections.
     pub fn len(&self) -> usize {
         self.idle.borrow().values().map(Vec::len).sum()
     }
 
-    /// Whether none is kept.
+    /// Whether the pool is empty.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/gateway/src/gateway.rs
+++ b/gateway/src/gateway.rs
@@ -1,4 +1,8 @@
-//! Starting a gateway, and stopping it without cutting a call off.
+//! Starts a gateway, and stops it without cutting off a call.
+//!
+//! [`Builder::start`] opens all sockets and spawns the gateway's tasks on the current thread.
+//! [`Running::stop`] drains it: new callers stay away, and the process exits when the last
+//! connection has closed or the grace period is over.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -36,28 +40,28 @@
 use crate::store::Store;
 use crate::view;
 
-/// While stopping, how often it is looked whether everything is finished.
-const LOOK: Duration = Duration::from_millis(100);
-/// Kept from the end of the grace time, to exit by itself.
-const RESERVE: Duration = Duration::from_millis(600);
+/// Time between checks whether a stopping gateway has finished.
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Part of the grace period that is left unused, so that the process exits before it is killed.
+const EXIT_RESERVE: Duration = Duration::from_millis(600);
 
-/// Before the process ends, time for the answers to calls that have none: twice the period of
-/// looking, so that they are on their way to callers in any failure domain.
-const LAST_ANSWERS: Duration = Duration::from_millis(200);
+/// Time before the exit for responses to calls that have none: twice the interval of the checks, so
+/// that they are on their way to callers in any failure domain.
+const LAST_RESPONSES: Duration = Duration::from_millis(200);
 
-/// Answers a request that is not relayed.
+/// Responds to a request that is not relayed to a replica.
 pub type Handler = fn(&Shared, &Request<Incoming>) -> Response<Payload>;
 
-/// A further listener and what answers on it.
+/// A further listener and its handler.
 #[derive(Clone, Copy)]
 pub struct Listener {
-    /// Where it listens.
+    /// Address to listen on.
     pub address: SocketAddr,
-    /// What answers.
+    /// Responds to all requests on this address.
     pub handler: Handler,
 }
 
-/// What a gateway is started with.
+/// Configures and starts a gateway.
 pub struct Builder {
     settings: Settings,
     dialect: Dialect,
@@ -71,7 +75,7 @@
 }
 
 impl Builder {
-    /// A gateway that serves callers on `callers` and hears peers on `heartbeats`.
+    /// Creates a builder for a gateway that serves callers on `callers` and peers on `heartbeats`.
     pub fn new(
         settings: Settings,
         dialect: Dialect,
@@ -92,35 +96,36 @@
         }
     }
 
-    /// With one more listener.
+    /// Adds a listener.
     pub fn listener(mut self, listener: Listener) -> Builder {
         self.listeners.push(listener);
         self
     }
 
-    /// With duties that one gateway carries out for all.
+    /// Adds duties that the leader carries out for all gateways.
     pub fn duties(mut self, options: duty::Options, calls: duty::Calls) -> Builder {
         self.duties = Some((options, calls));
         self
     }
 
-    /// With this much time between the signal to stop and the end.
+    /// Sets the longest time from the start of a stop to its end; 8 s by default.
     pub fn grace_period(mut self, grace_period: Duration) -> Builder {
         self.grace_period = grace_period;
         self
     }
 
-    /// With this much time for callers to learn that the gateway stops.
+    /// Sets the time in which callers learn that the gateway stops, before their connections are
+    /// closed; 3 s by default.
     pub fn drain_delay(mut self, drain_delay: Duration) -> Builder {
         self.drain_delay = drain_delay;
         self
     }
 
-    /// Opens all listeners.
+    /// Opens all listeners and spawns the gateway's tasks.
     ///
     /// # Errors
     ///
-    /// The first address that can't be used.
+    /// Returns the error of the first address that can't be used, with the address.
     pub async fn start(self) -> std::io::Result<Running> {
         let at = |address: SocketAddr| {
             move |e: std::io::Error| std::io::Error::new(e.kind(), format!("{address}: {e}"))
@@ -196,7 +201,7 @@
     let handler = Rc::new(handler);
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(STOP_CHECK_INTERVAL).await;
             continue;
         };
         let (shared, handler) = (shared.clone(), Rc::clone(&handler));
@@ -207,7 +212,7 @@
             });
             let io = hyper_util::rt::TokioIo::new(stream);
             let mut builder = hyper::server::conn::http1::Builder::new();
-            // A peer whose connection broke asks again.
+            // A peer whose connection broke repeats its request.
             let _ = builder.auto_date_header(false).serve_connection(io, service).await;
         });
     }
@@ -221,11 +226,11 @@
     }
 }
 
-/// A gateway that serves.
+/// A started gateway.
 pub struct Running {
     /// State of the process.
     pub shared: Shared,
-    /// Where callers are served.
+    /// Address on which callers are served.
     pub callers: SocketAddr,
     withdraw: Box<dyn FnMut(u64) -> store::Reply<()>>,
     grace_period: Duration,
@@ -233,35 +238,38 @@
 }
 
 impl Running {
-    /// Leaves: no new callers are sent here, those that come are served while they learn of it,
-    /// and then their connections are closed, each after the answer that is on its way.
+    /// Drains the gateway and returns when the process may exit.
     ///
-    /// The end is that of the last connection, and not of the last call: a call is over when its
-    /// answer is handed to its connection, and a process that ended then would cut off what a
-    /// caller on a slow link has yet to read. Callers that do not read are cut off at the end of the
-    /// grace time; calls without an answer by then get one that says whether they may have run.
+    /// The directory sends no new callers here. Those that still come are served during the drain
+    /// delay; then connections are closed, each after the response in progress.
+    ///
+    /// The stop ends with the last connection, not with the last call: a call ends when its
+    /// response is handed to its connection, and a process that exited then would cut off data that
+    /// a caller on a slow link has yet to read. Callers that do not read are cut off at the end of
+    /// the grace period; calls without a response by then get one that says whether they may have
+    /// run.
     pub async fn stop(self) {
         let shared = self.shared;
         let began = clock::now();
-        let end = self.grace_period.saturating_sub(RESERVE + LAST_ANSWERS);
-        let (learned, end) = (clock::span(self.drain_delay), clock::span(end));
-        shared.gateway.borrow_mut().stop(began, learned, end);
+        let end = self.grace_period.saturating_sub(EXIT_RESERVE + LAST_RESPONSES);
+        let (drained, end) = (clock::span(self.drain_delay), clock::span(end));
+        shared.gateway.borrow_mut().stop(began, drained, end);
         shared.log(Line::new("stopping").with("calls", shared.calls.get()));
         duty::stop(&shared);
         peers::send_heartbeat(&shared).await;
         store::withdraw(&shared, self.withdraw).await;
         peers::send_heartbeat(&shared).await;
         loop {
-            tokio::time::sleep(LOOK).await;
-            let past = clock::duration(clock::now().since(began));
-            if past > self.drain_delay {
+            tokio::time::sleep(STOP_CHECK_INTERVAL).await;
+            let elapsed = clock::duration(clock::now().since(began));
+            if elapsed > self.drain_delay {
                 shared.connections_closing.notify_waiters();
             }
             if shared.gateway.borrow().is_grace_over(clock::now()) {
                 shared.calls_ending.notify_waiters();
             }
-            let done = shared.connections.get() == 0 && past > self.drain_delay / 2;
-            if done || past + RESERVE > self.grace_period {
+            let done = shared.connections.get() == 0 && elapsed > self.drain_delay / 2;
+            if done || elapsed + EXIT_RESERVE > self.grace_period {
                 break;
             }
         }
--- a/gateway/src/server.rs
+++ b/gateway/src/server.rs
@@ -1,4 +1,7 @@
-//! Listeners for callers, for the directory, for readiness and for metrics.
+//! Listens for callers and serves their connections.
+//!
+//! A connection is closed when it has been idle for too long, and in a stop after its response in
+//! progress. In a stop a closed connection counts as open until the caller has read its response.
 
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -29,24 +32,24 @@
 use crate::log::Line;
 use crate::shared::Shared;
 
-/// Connections that wait to be accepted; a full queue costs callers seconds.
+/// Connections that may wait to be accepted; with a full queue, callers retry only after seconds.
 const BACKLOG: i32 = 1_024;
-/// Data that is not acknowledged for this long means that the caller is gone.
-const UNACKNOWLEDGED: Duration = Duration::from_secs(5);
-/// How long a connection may rest beyond the limit, so that a caller's last call never crosses
-/// the close.
+/// Time without acknowledgement of sent data after which a caller counts as gone.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(5);
+/// Time that a connection stays open beyond the idle limit, so that a caller that respects the
+/// limit never sends a call while the connection is being closed.
 const IDLE_SLACK: Span = Span::secs(1);
-/// In a stop, how long a connection may rest before it is closed: a caller that has just connected
-/// sends its call within a round trip between failure domains, which takes a few milliseconds.
-const CLOSING_REST: Span = Span::millis(100);
-/// Pause after an error of `accept`, which comes at once again when descriptors have run out.
+/// Idle time after which a connection is closed in a stop: a caller that has just connected sends
+/// its call within a round trip between failure domains, which takes a few milliseconds.
+const STOPPING_IDLE_LIMIT: Span = Span::millis(100);
+/// Pause after an error of `accept`, which fails again at once while no file descriptors are left.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Opens a listener.
+/// Opens a listening socket.
 ///
 /// # Errors
 ///
-/// What the system says, with the address.
+/// Returns the system's error.
 pub fn listen(address: SocketAddr) -> std::io::Result<TcpListener> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
@@ -56,14 +59,14 @@
     TcpListener::from_std(socket.into())
 }
 
-/// When a connection did something last, and what it is doing.
+/// Calls in progress on a connection, and the time of its last activity.
 #[derive(Debug)]
 struct Activity {
     last: Cell<Time>,
     calls: Cell<usize>,
 }
 
-/// Serves callers on `listener` until the task is ended.
+/// Accepts callers on `listener` and serves their calls with `answer`, forever.
 pub async fn serve<F, R>(shared: Shared, listener: TcpListener, answer: F)
 where
     F: Fn(Shared, Request<Incoming>) -> R + Copy + 'static,
@@ -87,9 +90,9 @@
     F: Fn(Shared, Request<Incoming>) -> R + Copy + 'static,
     R: Future<Output = Result<Response<Payload>, Infallible>> + 'static,
 {
-    // Without these options the connection still works, only later or longer.
+    // Errors are ignored: without these options a connection is slower, or outlives its caller.
     let _ = stream.set_nodelay(true);
-    let _ = SockRef::from(&stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED));
+    let _ = SockRef::from(&stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT));
     shared.connections.set(shared.connections.get() + 1);
     let activity = Rc::new(Activity { last: Cell::new(clock::now()), calls: Cell::new(0) });
     let (s, a) = (shared.clone(), Rc::clone(&activity));
@@ -108,36 +111,36 @@
         tokio::select! {
             served = &mut connection => break served,
             () = shared.connections_closing.notified() => {}
-            () = tokio::time::sleep(rest(&shared, &activity)) => {}
+            () = tokio::time::sleep(remaining_idle(&shared, &activity)) => {}
         }
-        if rest(&shared, &activity).is_zero() {
+        if remaining_idle(&shared, &activity).is_zero() {
             Pin::new(&mut connection).graceful_shutdown();
             activity.last.set(clock::now());
         }
     };
-    // A caller that left shows as an error; its calls have been dropped and logged.
+    // A caller that has left causes an error; its calls have been dropped and logged.
     if served.is_ok() && shared.gateway.borrow().is_stopping() {
-        taken(&connection.into_parts().io.into_inner()).await;
+        wait_until_read(&connection.into_parts().io.into_inner()).await;
     }
     shared.connections.set(shared.connections.get() - 1);
 }
 
-/// Waits until the caller has what was written to it.
+/// Waits until the caller has read everything that was written to it.
 ///
-/// What the system holds for a caller is lost where the host's network ends with the process.
-/// A caller that closes the connection in turn, or sends its next call, has read all before it.
-/// Nothing is taken out: a call that crosses the close stays unread, and so has not run.
-async fn taken(stream: &TcpStream) {
-    // An error means that the caller is gone.
+/// If the host's network goes down with the process, data in the system's buffers is lost. A caller
+/// that closes the connection, or sends its next call, has read all that came before. The next call
+/// is only peeked at: it stays unread, and so has not run.
+async fn wait_until_read(stream: &TcpStream) {
+    // An error means that the caller has left.
     let _ = stream.peek(&mut [0; 1]).await;
 }
 
-/// Time until the connection has rested for too long.
-fn rest(shared: &Shared, activity: &Activity) -> Duration {
+/// Returns the time until the connection has been idle for too long.
+fn remaining_idle(shared: &Shared, activity: &Activity) -> Duration {
     let gateway = shared.gateway.borrow();
     let limits = gateway.config().map_or_else(Limits::default, |c| c.limits);
     let allowed = match gateway.is_closing(clock::now()) {
-        true => CLOSING_REST,
+        true => STOPPING_IDLE_LIMIT,
         false => limits.idle_time + IDLE_SLACK,
     };
     if activity.calls.get() > 0 {
@@ -146,7 +149,7 @@
     clock::until(activity.last.get() + allowed)
 }
 
-/// Counts a call of a connection while it is answered.
+/// Counts a call in progress on a connection until it is dropped.
 struct Busy(Rc<Activity>);
 
 impl Busy {
--- a/gateway/src/shared.rs
+++ b/gateway/src/shared.rs
@@ -1,4 +1,4 @@
-//! What all tasks of a gateway share; they run on one thread.
+//! State that all tasks of a gateway share. They run on one thread, so it needs no locks.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -24,52 +24,52 @@
 
 /// State of the process.
 pub struct State {
-    /// Decisions.
+    /// Decides on calls and holds what the gateway knows.
     pub gateway: RefCell<Gateway>,
-    /// Header names and formats.
+    /// Header names and formats of the platform.
     pub dialect: Dialect,
     /// Connections to replicas.
     pub pool: Pool,
     /// Counters and histograms.
     pub metrics: Metrics,
-    /// What the store was last known to hold, and before.
+    /// The newest view of the store and some earlier ones.
     pub views: RefCell<History>,
-    /// Differences between views in encoded form.
+    /// Encoded differences between views.
     pub deltas: RefCell<Deltas>,
-    /// Flawed entries of the store that have been logged.
+    /// Malformed entries of the store that have been logged.
     pub flaws: RefCell<Tracker>,
-    /// Questions to other gateways that wait for an answer.
+    /// Requests to other gateways that wait for a response.
     pub pending: RefCell<Pending>,
-    /// Datagrams between gateways.
+    /// Socket for datagrams between gateways.
     pub socket: UdpSocket,
     /// Wakes the task that sends updates to owners of engines.
     pub updates_waiting: Notify,
-    /// Lease of the gateway's entry in the store.
+    /// Id of the lease of the gateway's entry in the store.
     pub lease: Cell<Option<u64>>,
-    /// Open connections of callers.
+    /// Number of open connections of callers.
     pub connections: Cell<usize>,
-    /// Wakes the connections of callers when they are to be closed.
+    /// Wakes the connections of callers when they must be closed.
     pub connections_closing: Notify,
-    /// Wakes calls that are to be answered because the process ends.
+    /// Wakes calls that must be answered because the process is about to exit.
     pub calls_ending: Notify,
-    /// Calls in progress.
+    /// Number of calls in progress.
     pub calls: Cell<usize>,
-    /// Lines on their way out.
+    /// Buffer of log lines.
     pub lines: Log,
-    /// Jitter and draws of the shell.
+    /// Random numbers for jitter and for the choice of peers.
     pub rng: RefCell<SmallRng>,
-    /// Duties of one gateway for all, where the deployment has any.
+    /// Duties that the leader carries out for all gateways, if the deployment has any.
     pub duties: Option<duty::State>,
-    /// Wakes the task that writes lines.
+    /// Wakes the task that writes log lines.
     pub lines_waiting: Notify,
 }
 
-/// A handle of the process's state.
+/// A cheaply cloned handle to the state of the process.
 #[derive(Clone)]
 pub struct Shared(Rc<State>);
 
 impl Shared {
-    /// Shares `state`.
+    /// Wraps `state` in a handle.
     pub fn new(state: State) -> Shared {
         Shared(Rc::new(state))
     }
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Gathers a log line.
+    /// Buffers a log line and wakes the task that writes it.
     pub fn log(&self, line: Line) {
         self.lines.write(&line);
         self.lines_waiting.notify_one();
