--- a/gateway/src/body.rs
+++ b/gateway/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers to callers.
+//! Bodies of responses to callers.
 
 use std::pin::Pin;
 use std::task::Context;
@@ -11,28 +11,28 @@
 use hyper::body::Frame;
 use hyper::body::SizeHint;
 
-/// The answer can't be completed; the connection is closed so that it looks broken.
+/// The response can't be completed; the connection is closed so that the caller sees it as broken.
 #[derive(Clone, Copy, Debug, thiserror::Error)]
-#[error("the answer was broken off")]
+#[error("response aborted before its end")]
 pub struct Aborted;
 
 type Parts = Pin<Box<dyn Stream<Item = Result<Bytes, Aborted>>>>;
 
-/// Body of an answer.
+/// Body of a response.
 pub enum Payload {
-    /// Known whole.
+    /// Complete from the start.
     Full(Full<Bytes>),
-    /// Events as they come.
+    /// Events as they arrive.
     Stream(Parts),
 }
 
 impl Payload {
-    /// A body of known bytes.
+    /// Creates a body that is complete from the start.
     pub fn full(bytes: impl Into<Bytes>) -> Payload {
         Payload::Full(Full::new(bytes.into()))
     }
 
-    /// A body that is pulled from `parts` as the caller reads.
+    /// Creates a body that reads from `parts` as fast as the caller reads.
     pub fn stream(parts: impl Stream<Item = Result<Bytes, Aborted>> + 'static) -> Payload {
         Payload::Stream(Box::pin(parts))
     }
--- a/gateway/src/dialect.rs
+++ b/gateway/src/dialect.rs
@@ -1,4 +1,4 @@
-//! How calls and answers are written: header names and formats of one platform.
+//! Header names and formats of calls and responses, which differ between platforms.
 
 pub mod own;
 
@@ -9,65 +9,65 @@
 use laburnumwheel_core::gateway::fleet::Load;
 use laburnumwheel_core::gateway::submission::Submission;
 
-/// What the gateway adds to a call for one attempt.
+/// Values that the gateway adds to the headers of a call for one attempt.
 #[derive(Clone, Debug)]
 pub struct Attempt<'a> {
-    /// Run of a replica that must answer, and no other.
+    /// Incarnation of the replica; any other one must refuse the call.
     pub replica: &'a str,
-    /// Organisation by name, if the call needed a key.
+    /// Name of the organisation, if the call needed a key.
     pub organisation: Option<&'a str>,
-    /// Milliseconds that are left.
+    /// Time to the call's deadline, in milliseconds.
     pub remaining_ms: u64,
-    /// How urgent it is.
+    /// Rank of the call among others.
     pub rank: Rank,
-    /// Last event that the caller has, if the stream goes on.
+    /// Id of the last event that the caller has, if a stream is resumed.
     pub last_event: Option<&'a Bytes>,
     /// The replica is a model engine.
     pub engine: bool,
 }
 
-/// What the head of a replica's answer says.
+/// Parsed headers of a replica's response.
 #[derive(Clone, Debug, Default)]
 pub struct Metadata {
-    /// Id of the call that it answers.
+    /// Id of the call that it responds to.
     pub id: Option<Bytes>,
-    /// It bears the proof that a replica made it.
+    /// Whether the response has the header that proves it comes from a replica.
     pub sealed: bool,
     /// The replica did not run the call.
     pub not_run: bool,
-    /// Load of the replica.
+    /// Load of the replica, if stated.
     pub load: Option<Load>,
-    /// Seconds that the connection may rest.
+    /// Seconds for which the replica keeps the connection open while it is idle, if stated.
     pub keep_alive: Option<u64>,
 }
 
-/// What is wrong with a call's head.
+/// Why the head of a call is malformed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Malformed {
-    /// A header that is needed is missing.
+    /// A required header is missing.
     #[error("header {0} is missing")]
     Missing(&'static str),
-    /// A header has a value that can't be understood.
+    /// The value of a header can't be parsed.
     #[error("header {name} has the value {value:?}, which is not {expected}")]
     Value {
-        /// Header.
+        /// Name of the header.
         name: &'static str,
-        /// What stands there.
+        /// Its value.
         value: String,
-        /// What should stand there.
+        /// Description of a valid value.
         expected: &'static str,
     },
 }
 
-/// Reading and writing of heads.
+/// Functions that read and write the headers of one platform.
 #[derive(Clone, Copy)]
 pub struct Dialect {
-    /// Reads the head of a call.
+    /// Parses the head of a call.
     pub parse_call: fn(&request::Parts) -> Result<Submission, Malformed>,
-    /// Changes a call's headers for one attempt.
+    /// Changes the headers of a call for one attempt.
     pub prepare_attempt: fn(&mut HeaderMap, &Attempt<'_>),
-    /// Reads the head of an answer.
+    /// Parses the headers of a replica's response.
     pub parse_response: fn(&HeaderMap) -> Metadata,
-    /// Writes the id of the call on an answer of the gateway's own.
+    /// Writes the id of the call into the headers of a response of the gateway itself.
     pub set_request_id: fn(&mut HeaderMap, &Bytes),
 }
--- a/gateway/src/dialect/own.rs
+++ b/gateway/src/dialect/own.rs
@@ -1,4 +1,4 @@
-//! The product's own headers, for gateways on no particular platform.
+//! The default headers, for gateways that are not adapted to a platform.
 
 use bytes::Bytes;
 use hyper::HeaderMap;
@@ -16,28 +16,28 @@
 use super::Malformed;
 use super::Metadata;
 
-/// Id of the caller's try, echoed in the answer.
+/// Id of the caller's attempt, repeated in the response.
 pub const ID: &str = "x-request-id";
 /// How long the caller waits, in milliseconds.
 pub const PATIENCE: &str = "x-laburnum-patience-ms";
-/// Parts of the prompt as `id:tokens`, joined by commas, ids in hexadecimal.
+/// Parts of the prompt as `id:tokens`, separated by commas, with ids in hexadecimal.
 pub const PROMPT: &str = "x-laburnum-prompt";
-/// Run of a replica that must answer, and no other.
+/// Incarnation of the replica; any other one must refuse the call.
 pub const REPLICA: &str = "x-laburnum-replica";
-/// Organisation by name.
+/// Name of the organisation.
 pub const ORGANISATION: &str = "x-laburnum-organisation";
 /// Rank; 0 is the highest.
 pub const RANK: &str = "x-laburnum-rank";
-/// Last event that the caller has.
+/// Id of the last event that the caller has.
 pub const LAST_EVENT: &str = "last-event-id";
-/// Proof that a replica made the answer.
+/// Proves that the response comes from a replica.
 pub const PROOF: &str = "x-laburnum-proof";
-/// The replica did not run the call.
+/// Present if the replica did not run the call.
 pub const NOT_RUN: &str = "x-laburnum-not-run";
-/// Running and waiting calls and slots of the replica, joined by commas.
+/// Running calls, waiting calls and slots of the replica, separated by commas.
 pub const LOAD: &str = "x-laburnum-load";
 
-/// The product's own dialect.
+/// Returns the default dialect.
 pub fn dialect() -> Dialect {
     Dialect { parse_call, prepare_attempt, parse_response, set_request_id }
 }
--- a/gateway/src/era.rs
+++ b/gateway/src/era.rs
@@ -1,4 +1,8 @@
-//! Which life of the store answers. Each return of the store to an older copy begins a new era.
+//! Tracks the era of the store, which its responses state.
+//!
+//! Each return of the store to an older copy begins a new era. A response of an earlier era says
+//! nothing about the present state, so it is an error. A missing or unreadable era counts as the
+//! newest one.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -12,15 +16,15 @@
 use crate::shared::Shared;
 use crate::store::Error;
 
-/// What is odd about the era that an answer states.
+/// Irregular statement of the era in a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display)]
 #[display(rename_all = "snake_case")]
 pub enum Oddity {
-    /// It states none.
+    /// The response states no era.
     Missing,
-    /// It is no number.
+    /// The stated era is not a number.
     Unreadable,
-    /// It is of a former life.
+    /// The stated era is earlier than the newest one.
     Earlier,
 }
 
@@ -31,7 +35,7 @@
     unlogged: RefCell<Vec<Oddity>>,
 }
 
-/// The newest era that any answer has stated; shared by all connections to the store.
+/// Newest era that any response has stated, shared by all connections to the store.
 #[derive(Clone, Debug)]
 pub struct Eras(Rc<Inner>);
 
@@ -46,19 +50,19 @@
 }
 
 impl Eras {
-    /// The newest era; `None` if none was stated yet.
+    /// Returns the newest era; `None` if none has been stated yet.
     pub fn newest(&self) -> Option<u64> {
         *self.0.newest.borrow()
     }
 
-    /// Takes in what an answer states of its era.
+    /// Records the era that a response states.
     ///
     /// # Errors
     ///
-    /// [`Error::Outdated`] for an answer of a former life, which says nothing of this one.
+    /// Returns [`Error::Outdated`] for a response of an earlier era.
     pub fn observe(&self, stated: Option<&[u8]>) -> Result<(), Error> {
-        let read = |bytes| std::str::from_utf8(bytes).ok()?.trim().parse::<u64>().ok();
-        let oddity = match (stated, stated.and_then(read)) {
+        let parse = |bytes| std::str::from_utf8(bytes).ok()?.trim().parse::<u64>().ok();
+        let oddity = match (stated, stated.and_then(parse)) {
             (None, _) => Some(Oddity::Missing),
             (Some(_), None) => Some(Oddity::Unreadable),
             (Some(_), Some(era)) if self.newest().is_some_and(|newest| era < newest) => {
@@ -69,34 +73,35 @@
                 None
             }
         };
-        // Logged once, not with each answer.
+        // Logged when it first appears, not for each response.
         if oddity != self.0.last_oddity.replace(oddity) {
             self.0.unlogged.borrow_mut().extend(oddity);
         }
         if oddity == Some(Oddity::Earlier) { Err(Error::Outdated) } else { Ok(()) }
     }
 
-    /// Waits for a rise from one era to a later one.
+    /// Returns a watcher that waits for the next change to a later era.
     pub fn watch(&self) -> Watcher {
         Watcher { seen: self.newest(), newest: self.0.newest.subscribe() }
     }
 
-    /// What is odd and has not been logged.
+    /// Takes the irregularities that have not been logged.
     fn take_unlogged(&self) -> Vec<Oddity> {
         std::mem::take(&mut self.0.unlogged.borrow_mut())
     }
 }
 
-/// The rises that come from now on.
+/// Waits for changes to a later era.
 #[derive(Debug)]
 pub struct Watcher {
-    /// The era returned last. A rise may come while nobody waits for one.
+    /// Era at the last change that was returned; the era may change between two calls of `next`.
     seen: Option<u64>,
     newest: watch::Receiver<Option<u64>>,
 }
 
 impl Watcher {
-    /// The next rise, as the eras before and after it; the first era that is stated is none.
+    /// Waits for the next change and returns the eras before and after it. The first era that is
+    /// stated does not count as a change.
     pub async fn next(&mut self) -> (u64, u64) {
         loop {
             let newest = *self.newest.borrow_and_update();
@@ -107,14 +112,14 @@
                 return (before, after);
             }
             if self.newest.changed().await.is_err() {
-                // Nobody is left to tell of eras.
+                // The sender is gone, so there will be no further change.
                 std::future::pending::<()>().await;
             }
         }
     }
 }
 
-/// Takes each return of the store in and logs it, for ever.
+/// Passes each return of the store to the gateway and logs it, forever.
 pub async fn follow(shared: Shared, eras: Eras) {
     let mut watcher = eras.watch();
     loop {
@@ -134,7 +139,7 @@
     }
 }
 
-/// Logs what is odd about the eras of answers.
+/// Logs and counts new irregularities in the eras that responses state.
 pub fn log_oddities(shared: &Shared, eras: &Eras) {
     for oddity in eras.take_unlogged() {
         shared.metrics.count("store_era_oddities_total", format!("kind=\"{oddity}\""));
--- a/gateway/src/fenced.rs
+++ b/gateway/src/fenced.rs
@@ -1,7 +1,8 @@
-//! Connections on which nothing is written after a deadline.
+//! Makes calls whose data is never written after a deadline.
 //!
-//! A process that was suspended goes on in the middle of a call. Looked at before the call alone, the
-//! clock would let it write what it had prepared before; so it is looked at before each write.
+//! A process that was suspended may resume in the middle of a call. If the deadline were checked
+//! only before the call, the process could then send data that it had prepared before; so the clock
+//! is checked before each write.
 
 use std::io;
 use std::io::IoSlice;
@@ -36,7 +37,7 @@
 }
 
 impl<S> Fenced<S> {
-    /// Wraps `stream`.
+    /// Wraps `stream`, which is written to only before `deadline`.
     pub fn new(stream: S, deadline: Time) -> Fenced<S> {
         Fenced { stream, deadline }
     }
@@ -88,14 +89,15 @@
     }
 }
 
-/// Makes one call on a connection of its own, and abandons it at the deadline; returns the status.
+/// Makes one call on a new connection, abandons it at the deadline, and returns the status of the
+/// response.
 ///
-/// A connection that is dropped is reset, so that what the system still holds of the call is not sent
-/// again later.
+/// A dropped connection is reset, so that the system does not send or retransmit buffered data of
+/// the call later.
 ///
 /// # Errors
 ///
-/// What the system says, or that the deadline has passed.
+/// Returns the system's error, or `TimedOut` if the deadline has passed.
 pub async fn call(
     address: SocketAddr,
     request: Request<Full<Bytes>>,
@@ -110,7 +112,7 @@
         let io = TokioIo::new(Fenced::new(stream, deadline));
         let handshake = http1::Builder::new().handshake(io).await;
         let (mut sender, connection) = handshake.map_err(io::Error::other)?;
-        // The connection is polled by this task alone, so it is gone as soon as the call is abandoned.
+        // Only this task polls the connection, so abandoning the call closes it at once.
         let response = std::pin::pin!(sender.send_request(request));
         let connection = std::pin::pin!(connection);
         let response = match select(response, connection).await {
--- a/gateway/src/flaw.rs
+++ b/gateway/src/flaw.rs
@@ -1,8 +1,8 @@
-//! Malformed entries of the store, logged once and not at each read.
+//! Logs malformed entries of the store once, not at each read.
 //!
-//! Other writers share the store. What they leave there, or spoil, must cost nothing but the entry
-//! itself: a read that finds such entries is sound, and each of them is logged and counted when it
-//! appears or its flaw changes.
+//! Other programs write to the store too. An entry that they leave or damage there must affect
+//! nothing else: a read that finds such entries is valid, and each of them is logged and counted
+//! when it appears or when its flaw changes.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -13,9 +13,9 @@
 use crate::shared::Shared;
 
 /// Upper bound on tracked entries.
-const MOST: usize = 64;
+const MAX_TRACKED: usize = 64;
 
-/// What an entry would have named.
+/// Kind of entry that is malformed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Display)]
 #[display(rename_all = "snake_case")]
 pub enum Subject {
@@ -29,32 +29,32 @@
     Quarantine,
 }
 
-/// What is wrong with an entry.
+/// Kind of flaw.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Display)]
 #[display(rename_all = "snake_case")]
 pub enum Kind {
-    /// Its bytes can't be read.
+    /// The bytes can't be decoded.
     Bytes,
-    /// A field is missing, or of another type.
+    /// A field is missing or has the wrong type.
     Field,
-    /// Its address is none.
+    /// The address is malformed.
     Address,
-    /// Its state is none that is known.
+    /// The state is unknown.
     State,
-    /// Its service is none that the configuration names.
+    /// The configuration does not name the service.
     Service,
-    /// Its key can't be an identity, or is another's.
+    /// The key is not a valid identity, or belongs to another entry.
     Key,
 }
 
-/// A flawed entry.
+/// A malformed entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Flaw {
-    /// What it would have named.
+    /// Kind of entry.
     pub subject: Subject,
-    /// Its key.
+    /// Key of the entry.
     pub key: String,
-    /// What is wrong with it.
+    /// Kind of flaw.
     pub kind: Kind,
 }
 
@@ -62,34 +62,35 @@
 #[derive(Debug, Default)]
 pub struct Tracker {
     flaws: BTreeMap<(Subject, String), Kind>,
-    /// There are more than are tracked, and that has been logged.
+    /// There are more entries than are tracked, and that has been logged.
     has_untracked: bool,
 }
 
-/// How the flaws of one read differ from those of the read before.
+/// Differences between the flaws of one read and those of the read before.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Changes {
-    /// Appeared, or of another kind than before.
+    /// Flaws that are new, or of another kind than before.
     pub appeared: Vec<Flaw>,
-    /// Readable again, or gone.
+    /// Flaws of entries that are readable again, or deleted.
     pub resolved: Vec<Flaw>,
-    /// Number of entries beyond the tracked ones, when there begin to be any.
+    /// Number of entries beyond the tracked ones; given only when the limit is first exceeded.
     pub untracked: Option<usize>,
 }
 
 impl Tracker {
-    /// Merges the malformed entries of a sound read; returns what to log.
+    /// Replaces the tracked flaws by those of a successful read; returns the changes to log.
     pub fn update(&mut self, found: &[Flaw]) -> Changes {
         let mut now: BTreeMap<(Subject, String), Kind> =
             found.iter().map(|f| ((f.subject, f.key.clone()), f.kind)).collect();
         let count = now.len();
-        // Always the first in order, so that entries which stay are not logged in turn.
-        if let Some((cut, _)) = now.iter().nth(MOST) {
+        // The first entries in key order are tracked, so that unchanged entries are not logged in
+        // turn.
+        if let Some((cut, _)) = now.iter().nth(MAX_TRACKED) {
             let cut = cut.clone();
             now.split_off(&cut);
         }
-        let untracked = (count > MOST && !self.has_untracked).then(|| count - MOST);
-        self.has_untracked = count > MOST;
+        let untracked = (count > MAX_TRACKED && !self.has_untracked).then(|| count - MAX_TRACKED);
+        self.has_untracked = count > MAX_TRACKED;
         let appeared = differing(&now, &self.flaws, |before, kind| before != Some(kind));
         let resolved = differing(&self.flaws, &now, |after, _| after.is_none());
         self.flaws = now;
@@ -108,9 +109,9 @@
         .collect()
 }
 
-/// Logs and counts what is new among the flaws of a sound read.
-pub fn log_changes(shared: &Shared, told: &RefCell<Tracker>, found: &[Flaw]) {
-    let changes = told.borrow_mut().update(found);
+/// Logs and counts the changes among the flaws of a successful read.
+pub fn log_changes(shared: &Shared, tracker: &RefCell<Tracker>, found: &[Flaw]) {
+    let changes = tracker.borrow_mut().update(found);
     for flaw in &changes.appeared {
         let label = format!("of=\"{}\",kind=\"{}\"", flaw.subject, flaw.kind);
         shared.metrics.count("entry_flaws_total", label);
--- a/gateway/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -1,8 +1,9 @@
-//! The gateway's process: sockets, timers and logs round [`laburnumwheel_core::gateway`].
+//! Runs a gateway: sockets, timers and logs for the decisions of [`laburnumwheel_core::gateway`].
 //!
-//! It relays opaque calls and event streams over HTTP/1.1. What the headers are called and where
-//! lists of replicas come from is defined by a [`dialect::Dialect`] and a [`store::Store`], so the
-//! gateway runs on any platform that can fill these in. Everything runs on one thread.
+//! The gateway relays calls and event streams over HTTP/1.1 without interpreting their bodies. A
+//! [`dialect::Dialect`] defines the names of headers, and a [`store::Store`] the source of the
+//! lists of replicas, so a platform is supported by implementing these two. Everything runs on one
+//! thread.
 
 pub mod attempt;
 pub mod body;
--- a/gateway/src/log.rs
+++ b/gateway/src/log.rs
@@ -1,8 +1,8 @@
-//! One line of key=value pairs for each event, on standard output.
+//! Logs each event as one line of key=value pairs on standard output.
 //!
-//! Lines are gathered and written by one task that never waits for the reader: if the pipe is
-//! full, or more lines come than the bound, they are dropped and counted, and the count is
-//! written. No line carries a key or a body.
+//! Lines are buffered and written by one task that never waits for the reader. Lines beyond the
+//! rate limit or the buffer are dropped, and their number is logged. No line contains a key or a
+//! body.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -17,11 +17,11 @@
 
 use crate::clock;
 
-/// Most bytes that wait to be written.
-const MOST_BYTES: usize = 64 * 1024;
-/// Most lines in a second: several times the calls that a small host takes under load.
-const LINES_PER_SECOND: u32 = 400;
-/// Time for which lines are gathered; one system call writes them all.
+/// Size of the buffer above which lines are dropped, in bytes.
+const MAX_BUFFERED_BYTES: usize = 64 * 1024;
+/// Most lines logged in a second: several times the calls that a small host serves under load.
+const MAX_LINES_PER_SECOND: u32 = 400;
+/// Time for which lines are buffered, so that one system call writes many.
 pub const FLUSH_INTERVAL: Duration = Duration::from_millis(250);
 
 /// A log line: its event name and fields.
@@ -31,7 +31,7 @@
 }
 
 impl Line {
-    /// A line for `event` without fields.
+    /// Creates a line for `event` without fields.
     pub fn new(event: &str) -> Line {
         let mut text = String::with_capacity(128);
         text.push_str("event=");
@@ -39,7 +39,8 @@
         Line { text }
     }
 
-    /// The line with one more field, quoted where its value needs it.
+    /// Adds a field; its value is quoted if it is empty or contains white space, control
+    /// characters, `"` or `=`.
     pub fn with(mut self, name: &str, value: impl Display) -> Line {
         let _ = write!(self.text, " {name}=");
         let begin = self.text.len();
@@ -53,75 +54,75 @@
         self
     }
 
-    /// Text of the line.
+    /// Returns the text of the line.
     pub fn as_str(&self) -> &str {
         &self.text
     }
 }
 
-/// Lines on their way out.
+/// A buffer of log lines.
 #[derive(Debug)]
 pub struct Log {
     node: String,
-    waiting: RefCell<String>,
+    buffer: RefCell<String>,
     second: Cell<u64>,
     lines: Cell<u32>,
     dropped: Cell<u64>,
 }
 
 impl Log {
-    /// A log whose lines name `node`.
+    /// Creates a log whose lines contain the name `node`.
     pub fn new(node: &str) -> Log {
         Log {
             node: node.to_owned(),
-            waiting: RefCell::new(String::new()),
+            buffer: RefCell::new(String::new()),
             second: Cell::new(0),
             lines: Cell::new(0),
             dropped: Cell::new(0),
         }
     }
 
-    /// Gathers a line, or drops it if the bound is reached.
+    /// Buffers a line, or drops it if the buffer is full or too many lines came in this second.
     pub fn write(&self, line: &Line) {
         let now = clock::now().0;
         let second = now / 1_000_000;
         if self.second.replace(second) != second {
             self.lines.set(0);
         }
-        let mut waiting = self.waiting.borrow_mut();
-        if self.lines.get() >= LINES_PER_SECOND || waiting.len() > MOST_BYTES {
+        let mut buffer = self.buffer.borrow_mut();
+        if self.lines.get() >= MAX_LINES_PER_SECOND || buffer.len() > MAX_BUFFERED_BYTES {
             self.dropped.set(self.dropped.get() + 1);
             return;
         }
         self.lines.set(self.lines.get() + 1);
-        let _ = writeln!(waiting, "time_us={now} node={} {}", self.node, line.text);
+        let _ = writeln!(buffer, "time_us={now} node={} {}", self.node, line.text);
     }
 
-    /// Writes what was gathered as far as the reader takes it now.
+    /// Writes buffered lines, as far as standard output accepts them without blocking.
     pub fn flush(&self) {
         let dropped = self.dropped.take();
         if dropped > 0 {
             self.write(&Line::new("lines_dropped").with("count", dropped));
         }
-        let mut waiting = self.waiting.borrow_mut();
-        while !waiting.is_empty() {
-            match rustix::io::write(rustix::stdio::stdout(), waiting.as_bytes()) {
+        let mut buffer = self.buffer.borrow_mut();
+        while !buffer.is_empty() {
+            match rustix::io::write(rustix::stdio::stdout(), buffer.as_bytes()) {
                 Ok(n) => {
-                    waiting.drain(..n);
+                    buffer.drain(..n);
                 }
                 Err(Errno::INTR) => {}
-                // A full pipe is tried again with the next lines.
+                // The rest is written with the next lines; the pipe is full.
                 Err(_) => return,
             }
         }
     }
 }
 
-/// Lets writes to standard output fail instead of waiting for a reader.
+/// Makes writes to standard output fail instead of blocking.
 pub fn set_stdout_nonblocking() {
     let out = rustix::stdio::stdout();
     if let Ok(flags) = fcntl_getfl(out) {
-        // Without the flag a slow reader slows the process; there is nowhere to report it to.
+        // An error is ignored, as it can't be reported; a slow reader then slows the process down.
         let _ = fcntl_setfl(out, flags | OFlags::NONBLOCK);
     }
 }
--- a/gateway/src/metrics.rs
+++ b/gateway/src/metrics.rs
@@ -7,10 +7,11 @@
 use hdrhistogram::Histogram;
 use laburnumwheel_core::time::Span;
 
-/// Series kept for organisations; the rest are summed under `other`.
-const MOST_ORGANISATIONS: usize = 64;
+/// Upper bound on the latency series of routes, and on those of organisations; further names are
+/// recorded as `other`.
+const MAX_SERIES: usize = 64;
 /// Upper bound of the latency histograms, in milliseconds.
-const LONGEST_MS: u64 = 120_000;
+const MAX_LATENCY_MS: u64 = 120_000;
 
 type Latencies = BTreeMap<String, Histogram<u32>>;
 
@@ -21,29 +22,29 @@
     organisations: Latencies,
 }
 
-/// All series of the process.
+/// All metrics of the process.
 #[derive(Debug, Default)]
 pub struct Metrics {
     series: RefCell<Series>,
 }
 
 impl Metrics {
-    /// Adds one to the counter `name` with labels already in text form.
+    /// Adds one to the counter `name`; `labels` are in text form.
     pub fn count(&self, name: &'static str, labels: String) {
         self.add(name, labels, 1);
     }
 
-    /// Adds `value` to the counter `name` with labels already in text form.
+    /// Adds `value` to the counter `name`; `labels` are in text form.
     pub fn add(&self, name: &'static str, labels: String, value: u64) {
         *self.series.borrow_mut().counters.entry((name, labels)).or_default() += value;
     }
 
-    /// Counts a call of the store.
+    /// Counts a call of the store; `sound` says whether it succeeded.
     pub fn store_call(&self, call: &'static str, sound: bool) {
         self.count("store_calls_total", format!("call=\"{call}\",sound=\"{sound}\""));
     }
 
-    /// Notes the time to the first event or the whole answer of a call.
+    /// Records the time from a call's arrival to its first event or complete response.
     pub fn record_latency(&self, route: &str, organisation: Option<&str>, took: Span) {
         let mut series = self.series.borrow_mut();
         record(&mut series.routes, route, took);
@@ -52,7 +53,7 @@
         }
     }
 
-    /// All series in the text form that scrapers read, with `gauges` added.
+    /// Renders all metrics and `gauges` in the text format of Prometheus.
     pub fn render(&self, gauges: &[(&str, u64)]) -> String {
         let series = self.series.borrow();
         let mut text = String::new();
@@ -69,11 +70,11 @@
 }
 
 fn record(all: &mut Latencies, name: &str, took: Span) {
-    let known = all.contains_key(name) || all.len() < MOST_ORGANISATIONS;
+    let known = all.contains_key(name) || all.len() < MAX_SERIES;
     let name = if known { name } else { "other" };
-    let fresh = || Histogram::new_with_bounds(1, LONGEST_MS, 2).ok();
+    let create = || Histogram::new_with_bounds(1, MAX_LATENCY_MS, 2).ok();
     if !all.contains_key(name)
-        && let Some(histogram) = fresh()
+        && let Some(histogram) = create()
     {
         all.insert(name.to_owned(), histogram);
     }
