--- a/core/tests/gateway/fleet.rs
+++ b/core/tests/gateway/fleet.rs
@@ -1,4 +1,4 @@
-//! Which replicas may get work.
+//! Tests which replicas may get calls.
 
 use laburnumwheel_core::gateway::Gateway;
 use laburnumwheel_core::gateway::directory::Heartbeat;
@@ -15,13 +15,14 @@
 use crate::support::listing;
 use crate::support::listings;
 
+/// Id of the replica that a call would go to.
 fn chosen(gateway: &mut Gateway, now: Time) -> Option<String> {
     let call = ask("report", &[]);
     let mut grant = gateway.admit(now, &call).ok()?;
     gateway.pick(now, &call, &mut grant, &[]).ok().map(|pick| pick.id)
 }
 
-/// A heartbeat of a gateway that read the store `age` ago.
+/// Heartbeat of a gateway that read the store `age` ago.
 fn heartbeat(name: &str, age: Span) -> Heartbeat {
     Heartbeat {
         entry: entry(name),
@@ -36,7 +37,7 @@
 }
 
 #[test]
-fn a_replica_that_says_it_leaves_gets_nothing_new() {
+fn a_replica_marked_as_leaving_gets_no_new_calls() {
     let mut gateway = gateway(2);
     let mut leaving = listings(2);
     leaving[0].leaving = true;
@@ -47,9 +48,10 @@
     assert_eq!(chosen(&mut gateway, START).as_deref(), Some("engine-1"));
 }
 
-/// Some replicas never say that they leave: their entry goes, and they serve on for a while.
+/// Some replicas are never marked as leaving: their entry is removed, and they serve on for a
+/// while.
 #[test]
-fn a_replica_whose_entry_is_gone_gets_nothing_new() {
+fn a_replica_whose_entry_is_missing_gets_no_new_calls() {
     let mut gateway = gateway(2);
 
     gateway.update_lists(
@@ -62,10 +64,10 @@
     assert_eq!(chosen(&mut gateway, START).as_deref(), Some("engine-1"));
 }
 
-/// The same, with a link so full that the reads themselves lie 2.6 s apart: only what the others'
-/// heartbeats told of tells that the store was there.
+/// On a busy link, reads of the store lie 2.6 s apart. Only heartbeats of other gateways show that
+/// the store was available meanwhile.
 #[test]
-fn reads_that_lie_far_apart_are_no_outage_while_others_read() {
+fn slow_reads_are_no_outage_while_other_gateways_read() {
     let mut gateway = gateway(2);
     for ms in (500..=2_500).step_by(500) {
         let now = START + Span::millis(ms);
@@ -86,10 +88,11 @@
     assert_eq!(chosen(&mut gateway, now).as_deref(), Some("engine-1"));
 }
 
-/// The store comes back after an outage, and another gateway reads it first. Its heartbeat tells of
-/// a young proof before this gateway's own list comes, and that list lacks replicas that live.
+/// The store is back after an outage, and another gateway reads it first. Its heartbeat has a
+/// recent proof before this gateway's own list arrives, and that list lacks replicas that are
+/// running.
 #[test]
-fn an_outage_counts_as_one_also_for_those_who_hear_first_that_it_is_over() {
+fn a_heartbeat_after_an_outage_does_not_hide_the_outage() {
     let mut gateway = gateway(2);
     let back = START + Span::secs(4);
     gateway.receive(back, &heartbeat("two", Span(0)));
@@ -102,12 +105,12 @@
     assert!(chosen(&mut gateway, now).is_some());
 }
 
-/// Callers get answers from a replica that has left seconds before. Its entry goes while this
-/// gateway's link is full, so that its list comes 2.6 s after the last one; it takes that for an
-/// outage of the store and goes on using what is missing. Heartbeats told it all the while that
-/// others had read the store: nothing can have lapsed.
+/// A replica leaves while this gateway's link is busy, so that the list without it arrives 2.6 s
+/// after the last one. Taken for an outage of the store, the delay would keep the replica in use.
+/// Heartbeats show that other gateways have read the store meanwhile, so that no lease can have
+/// expired.
 #[test]
-fn a_list_that_comes_late_is_no_outage_of_the_store() {
+fn a_late_list_is_no_outage_while_other_gateways_read() {
     let mut gateway = gateway(2);
     for ms in (500..=2_500).step_by(500) {
         let now = START + Span::millis(ms);
@@ -128,10 +131,11 @@
     assert_eq!(chosen(&mut gateway, now).as_deref(), Some("engine-1"));
 }
 
-/// The store is out for seconds, and leases lapse meanwhile. When it is back, most entries are
-/// missing for a moment although their replicas live; going by the list the fleet would be empty.
+/// The store is out for seconds, and leases expire meanwhile. When it is back, most entries are
+/// missing for a moment although their replicas run; applied as it is, the list would empty the
+/// fleet.
 #[test]
-fn entries_that_lapsed_in_an_outage_are_kept_until_they_can_be_back() {
+fn replicas_missing_after_an_outage_are_retained_for_a_while() {
     let mut gateway = gateway(3);
     let back = START + Span::secs(4);
     gateway.record_read(back, None);
@@ -150,10 +154,11 @@
     assert_eq!(later.as_deref(), Some("engine-2"));
 }
 
-/// Calls go on to a replica whose entry another writer has spoilt. After an outage of the store,
-/// what is missing is used on for a moment; an entry that is there and says nothing is not missing.
+/// Another writer has made the entry of a replica unreadable. After an outage of the store,
+/// replicas with missing entries are retained; one with an unreadable entry is not, because its
+/// entry exists.
 #[test]
-fn a_replica_whose_entry_is_unreadable_gets_nothing_also_after_an_outage() {
+fn a_replica_with_an_unreadable_entry_is_closed_even_after_an_outage() {
     let mut gateway = gateway(3);
     let back = START + Span::secs(4);
     gateway.record_read(back, None);
@@ -170,7 +175,7 @@
 }
 
 #[test]
-fn an_unreadable_entry_of_an_unknown_replica_names_none() {
+fn an_unreadable_entry_of_an_unknown_replica_is_ignored() {
     let mut gateway = gateway(1);
     let mut listed = listings(1);
     listed.push(Listing::unreadable("stray"));
@@ -181,10 +186,10 @@
     assert_eq!(gateway.fleet().iter().count(), 1);
 }
 
-/// An address is given to a replica of another service. The first call finds out; no further one
-/// goes there until the list names the address anew.
+/// An address is reused for a replica of another service. The first call detects it, and no further
+/// call goes to the address until it is listed again.
 #[test]
-fn a_replica_that_was_replaced_at_its_address_gets_nothing_more() {
+fn a_replica_replaced_at_its_address_gets_no_more_calls() {
     let mut gateway = gateway(2);
     let call = ask("report", &[]);
     let mut grant = gateway.admit(START, &call).unwrap();
@@ -197,10 +202,10 @@
     assert!(next.iter().all(|id| id.as_ref().is_some_and(|id| *id != pick.id)));
 }
 
-/// A host goes dark. Connections to it hang; each call that tries it loses its objective. After a
-/// failed connection it rests, and longer each time, until a connection works again.
+/// A host becomes unreachable: connections to it hang, and each call that tries it misses its
+/// objective. After a failed connection the replica is in backoff, which grows until one succeeds.
 #[test]
-fn a_replica_that_can_not_be_reached_rests() {
+fn an_unreachable_replica_is_in_backoff() {
     let mut gateway = gateway(2);
     let call = ask("report", &[]);
     let mut grant = gateway.admit(START, &call).unwrap();
@@ -215,7 +220,7 @@
 }
 
 #[test]
-fn with_no_replica_the_caller_is_told_to_come_back() {
+fn without_a_replica_a_call_is_refused_with_a_time_to_retry() {
     let mut gateway = gateway(0);
     let call = ask("report", &[]);
     let mut grant = gateway.admit(START, &call).unwrap();
@@ -227,7 +232,7 @@
 }
 
 #[test]
-fn gateways_list_one_another_without_themselves() {
+fn a_gateway_is_not_among_its_own_peers() {
     let mut gateway = gateway(1);
 
     gateway.update_lists(START, START, listings(1), vec![entry("one"), entry("two")]);
--- a/core/tests/gateway/loads.rs
+++ b/core/tests/gateway/loads.rs
@@ -1,7 +1,8 @@
-//! Patterns of load: who gets which engine, and who is refused.
+//! Tests the placement and refusal of calls under patterns of load.
 //!
-//! Figures are those of the engines in use: sixteen requests in a batch, 110 prompt tokens read in
-//! a millisecond, a report of 6,300 shared and 2,890 own tokens, a chat of 710.
+//! The figures are those of the engines in use: 16 requests in a batch, 110 prompt tokens
+//! prefilled per millisecond. The calls are reports of 6,300 shared and 2,890 own tokens, which
+//! have the lowest rank, drafts of 1,800, and chats of 710, which are sensitive streams.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -27,7 +28,7 @@
 
 const ENGINES: usize = 30;
 
-/// Sends a call and returns where it went.
+/// Sends a call and returns the chosen replica.
 fn send(
     gateway: &mut Gateway,
     now: Time,
@@ -41,9 +42,10 @@
     Ok(pick)
 }
 
-/// A report about one of many things: a common head, the thing's own part, and the call's.
-fn report(thing: u64, call: u64) -> [(u64, u32); 3] {
-    [(1, 2_520), (1_000 + thing, 3_780), (1_000_000 + call, 2_890)]
+/// Prompt of a report about one of many subjects: a common part, the subject's part and its own
+/// part.
+fn report(subject: u64, call: u64) -> [(u64, u32); 3] {
+    [(1, 2_520), (1_000 + subject, 3_780), (1_000_000 + call, 2_890)]
 }
 
 fn chat(call: u64) -> [(u64, u32); 3] {
@@ -67,8 +69,8 @@
     Demand { gateway: short_hash("two"), open: true, sensitive: streams, age_ms: 0 }
 }
 
-/// An engine of the chats' lane, and one outside of it.
-fn lane_and_rest(gateway: &mut Gateway) -> (String, String) {
+/// An engine of the chats' isolated pool, and one outside of it.
+fn pool_and_other(gateway: &mut Gateway) -> (String, String) {
     let mut pick = |route: &str| {
         let call = ask(route, &[(1, 500)]);
         let mut grant = gateway.admit(START, &call).unwrap();
@@ -82,6 +84,7 @@
     Snapshot { engine, calls, pending_prefill_ms, interval_ms: 60.0 }
 }
 
+/// Reports this load for all engines.
 fn busy(gateway: &mut Gateway, now: Time, running: u16, waiting: u16) {
     let seen = |i: usize| Observation {
         replica: Incarnation::without_start(&format!("engine-{i}")).digest(),
@@ -92,17 +95,17 @@
     gateway.receive(now, &heartbeat(vec![], (0..ENGINES).map(seen).collect()));
 }
 
-/// Burst of long prompts: 40 reports about each of 20 things. Read anywhere, each head would be
-/// read thirty times and push the others out; at its homes it is read twice at most.
+/// A burst of 40 reports about each of 20 subjects. Without homes, each shared prefix would be
+/// prefilled thirty times and evict the others; at its homes it is prefilled twice at most.
 #[test]
-fn reports_about_one_thing_share_two_engines_at_most() {
+fn reports_about_one_subject_share_two_engines_at_most() {
     let mut gateway = gateway(ENGINES);
     let mut homes: BTreeMap<u64, BTreeSet<String>> = BTreeMap::new();
 
     for call in 0..800 {
-        let thing = call % 20;
-        if let Ok(pick) = send(&mut gateway, START, "report", &report(thing, call)) {
-            homes.entry(thing).or_default().insert(pick.id);
+        let subject = call % 20;
+        if let Ok(pick) = send(&mut gateway, START, "report", &report(subject, call)) {
+            homes.entry(subject).or_default().insert(pick.id);
         }
     }
 
@@ -110,8 +113,8 @@
     assert!(homes.values().all(|engines| engines.len() <= 2), "{homes:?}");
 }
 
-/// All gateways must send a head to the same engine, or each of them reads it anew somewhere else.
-/// They have not talked, and list the engines in another order.
+/// If gateways sent a shared prefix to different engines, each of these would prefill it. Gateways
+/// that have exchanged no message and list the engines in different orders still agree.
 #[test]
 fn gateways_agree_on_homes_without_a_message() {
     let mut one = gateway(ENGINES);
@@ -120,18 +123,17 @@
     listed.reverse();
     two.update_lists(START, START, listed, vec![]);
 
-    for thing in 0..40 {
-        let a = send(&mut one, START, "report", &report(thing, thing)).unwrap();
-        let b = send(&mut two, START, "report", &report(thing, 100 + thing)).unwrap();
-        assert_eq!(a.id, b.id, "thing {thing}");
+    for subject in 0..40 {
+        let a = send(&mut one, START, "report", &report(subject, subject)).unwrap();
+        let b = send(&mut two, START, "report", &report(subject, 100 + subject)).unwrap();
+        assert_eq!(a.id, b.id, "subject {subject}");
         one.record_end(START, a.claim, laburnumwheel_core::gateway::fleet::Outcome::Answered);
         two.record_end(START, b.claim, laburnumwheel_core::gateway::fleet::Outcome::Answered);
     }
 }
 
-/// Chats beside long prompts: a chat whose engine reads a 9,000-token prompt pauses for more than
-/// its 150 ms. With 60 chats in progress elsewhere, this gateway's chats go to the engines that are
-/// set apart, and no report goes there.
+/// A chat whose engine prefills a prompt of 9,000 tokens pauses for more than the allowed 150 ms.
+/// With 60 chats in progress at another gateway, chats go to the isolated pool and reports don't.
 #[test]
 fn chats_and_reports_do_not_share_engines() {
     let mut gateway = gateway(ENGINES);
@@ -152,11 +154,10 @@
     assert!(chats.is_disjoint(&reports));
 }
 
-/// Burst of chats: six times as many in a moment. The engines set apart grow with them, but leave
-/// two in five to the rest.
+/// In a burst of chats the isolated pool grows, but leaves two in five engines to other calls.
 #[test]
 fn a_burst_of_chats_takes_more_engines_but_not_all() {
-    let lane = |streams: u16| {
+    let engines_used = |streams: u16| {
         let mut gateway = gateway(ENGINES);
         let demand =
             Demand { gateway: short_hash("two"), open: true, sensitive: streams, age_ms: 0 };
@@ -165,16 +166,16 @@
         sent.map(|pick| pick.id).collect::<BTreeSet<_>>().len()
     };
 
-    let (few, many) = (lane(0), lane(2_000));
+    let (few, many) = (engines_used(0), engines_used(2_000));
 
     assert!(few <= 11, "{few}");
     assert_eq!(many, ENGINES * 3 / 5);
 }
 
-/// Hot part: every second report is about one thing. Its first home fills; the second takes over
-/// instead of a queue at the first.
+/// A burst of reports about one subject fills its first home. Further ones go to the second home
+/// instead of the queue of the first.
 #[test]
-fn a_hot_part_spreads_over_its_two_homes() {
+fn a_hot_prefix_uses_both_of_its_homes() {
     let mut gateway = gateway(ENGINES);
     let mut engines: BTreeMap<String, u32> = BTreeMap::new();
 
@@ -188,11 +189,11 @@
     assert!(engines.values().all(|n| *n >= 5), "{engines:?}");
 }
 
-/// Overload: engines report full batches and queues of 20. A report would wait two seconds for a
-/// first event that must come within 0.8, so it is refused at once; a draft, which engines admit
-/// before reports, is not. Refused callers come back spread over a second, not together.
+/// Engines have full batches and queues of 20. A report would wait two seconds for its first event,
+/// with an objective of 0.8 s, so that it is refused at once. A draft is not, because engines run
+/// it before reports. Refused callers are told to retry at times that are spread over a second.
 #[test]
-fn in_overload_the_lowest_rank_is_refused_first_and_returns_are_spread() {
+fn under_overload_the_lowest_rank_is_refused_first_and_retries_are_spread() {
     let mut gateway = gateway(ENGINES);
     busy(&mut gateway, START, 16, 20);
 
@@ -210,8 +211,8 @@
     assert!(drafts >= 45, "{drafts}");
 }
 
-/// A stream breaks off while engines are full, and is to go on elsewhere. Refused for load, its
-/// caller would lose the events that it has; "not run" would not even be true.
+/// A stream breaks off while engines are full, and must continue on another one. A refusal for
+/// overload would lose the events that were sent, and its "not run" would be false.
 #[test]
 fn a_call_that_was_sent_is_not_refused_for_load() {
     let mut gateway = gateway(ENGINES);
@@ -226,10 +227,10 @@
     assert!(again.is_ok_and(|next| next.id != pick.id));
 }
 
-/// Reports of load grow old: one that is four seconds old says nothing of now, and a gateway that
-/// went by it would refuse for ever, since refusing brings no new report.
+/// A load report that is four seconds old says nothing about the present. A gateway that used it
+/// would refuse calls forever, because refused calls bring no new load report.
 #[test]
-fn an_old_report_does_not_refuse() {
+fn an_old_load_report_causes_no_refusal() {
     let mut gateway = gateway(ENGINES);
     busy(&mut gateway, START, 16, 40);
 
@@ -239,9 +240,9 @@
     assert_eq!(sent.count(), 20);
 }
 
-/// What a gateway is told directly counts at once, and is passed on with its age.
+/// A load that a replica reports to a gateway is gossiped with its age while it is recent.
 #[test]
-fn loads_are_passed_on_with_their_age() {
+fn loads_are_gossiped_with_their_age() {
     let mut gateway = gateway(ENGINES);
     let pick = send(&mut gateway, START, "report", &report(1, 1)).unwrap();
     gateway.record_activity(START, &pick.claim, Some(Load { running: 9, waiting: 2, slots: 16 }));
@@ -249,55 +250,56 @@
     let young = gateway.heartbeat(START + Span::millis(300)).loads;
     let old = gateway.heartbeat(START + Span::millis(1_500)).loads;
 
-    let told: Vec<(u16, u16, u16)> =
+    let loads: Vec<(u16, u16, u16)> =
         young.iter().map(|s| (s.running, s.waiting, s.age_ms)).collect();
-    assert_eq!(told, [(9, 2, 300)]);
+    assert_eq!(loads, [(9, 2, 300)]);
     assert!(old.is_empty());
 }
 
-/// A burst of reports fills all engines outside the chats' lane. A draft ranks above reports: an
-/// engine full of them stops one for it, and reads that report's prompt again. The lane has places.
+/// A burst of reports fills all engines outside the chats' isolated pool. A full engine would
+/// preempt a report for a draft, which ranks higher, and prefill the report again. The pool has
+/// free slots.
 #[test]
-fn a_draft_takes_a_free_place_in_the_lane_before_it_stops_a_report() {
+fn a_draft_takes_a_free_slot_in_the_pool_before_it_preempts_a_report() {
     let mut gateway = gateway(ENGINES);
     let demand = demand_of_chats(60);
     gateway.receive(START, &heartbeat(vec![demand], Vec::new()));
-    let (in_lane, outside) = lane_and_rest(&mut gateway);
+    let (in_pool, outside) = pool_and_other(&mut gateway);
     let call = ask("draft", &[(9_000, 1_800)]);
     let mut grant = gateway.admit(START, &call).unwrap();
     let full = snapshot(&outside, 20, 200.0);
-    let free = snapshot(&in_lane, 6, 0.0);
+    let free = snapshot(&in_pool, 6, 0.0);
 
     let pick = gateway.pick(START, &call, &mut grant, &[full, free]).unwrap();
 
-    assert_eq!(pick.id, in_lane);
+    assert_eq!(pick.id, in_pool);
 }
 
-/// A burst of chats fills the lane before it has grown. A chat that waits there for a place waits for
-/// others as urgent as itself, longer than its objective, while engines outside have places.
+/// A burst of chats fills the isolated pool before it has grown. A further chat would wait there
+/// for calls of its own priority, longer than its objective, while engines outside have free slots.
 #[test]
-fn a_chat_that_the_lane_has_no_place_for_goes_elsewhere() {
+fn a_chat_leaves_a_pool_without_free_slots() {
     let mut gateway = gateway(ENGINES);
     gateway.receive(START, &heartbeat(vec![demand_of_chats(60)], Vec::new()));
-    let (in_lane, outside) = lane_and_rest(&mut gateway);
-    let mut pick = |calls_in_lane: u16| {
+    let (in_pool, outside) = pool_and_other(&mut gateway);
+    let mut pick = |calls_in_pool: u16| {
         let call = ask("chat", &chat(1));
         let mut grant = gateway.admit(START, &call).unwrap();
-        let lane = snapshot(&in_lane, calls_in_lane, 0.0);
-        let rest = snapshot(&outside, 6, 100.0);
-        gateway.pick(START, &call, &mut grant, &[lane, rest]).unwrap().id
+        let pooled = snapshot(&in_pool, calls_in_pool, 0.0);
+        let other = snapshot(&outside, 6, 100.0);
+        gateway.pick(START, &call, &mut grant, &[pooled, other]).unwrap().id
     };
 
-    let (with_places, full, full_beyond) = (pick(12), pick(16), pick(22));
+    let (with_slots, full, overfull) = (pick(12), pick(16), pick(22));
 
-    assert_eq!(with_places, in_lane);
-    assert_eq!(full, in_lane, "a place is free within the objective");
-    assert_eq!(full_beyond, outside);
+    assert_eq!(with_slots, in_pool);
+    assert_eq!(full, in_pool, "a slot is free within the objective");
+    assert_eq!(overfull, outside);
 }
 
-/// The owner of an engine outside the lane is asked too, or nothing would be known of it.
+/// Without a query about an engine outside the isolated pool, a chat could not be sent there.
 #[test]
-fn a_chat_asks_for_one_engine_outside_of_the_lane() {
+fn a_chat_queries_one_engine_outside_the_pool() {
     let mut gateway = gateway(ENGINES);
     gateway.receive(START, &heartbeat(vec![demand_of_chats(60)], Vec::new()));
     let call = ask("chat", &chat(1));
@@ -308,16 +310,17 @@
     assert_eq!(asked.into_values().flatten().count(), 3);
 }
 
-/// Drafts beside chats: engines of the lane have little to read, so by queues alone they are the better
-/// ones for a draft as well. Each one that goes there lengthens the pauses of all chats on it.
+/// Engines of the isolated pool have short queues, so that their expected time to first event is
+/// lower for drafts too. Each draft sent there would lengthen the pauses of all chats on its
+/// engine.
 #[test]
-fn a_draft_stays_out_of_the_lane_while_others_have_places() {
+fn a_draft_stays_out_of_the_pool_while_other_engines_have_slots() {
     let mut gateway = gateway(ENGINES);
     gateway.receive(START, &heartbeat(vec![demand_of_chats(60)], Vec::new()));
-    let (in_lane, outside) = lane_and_rest(&mut gateway);
+    let (in_pool, outside) = pool_and_other(&mut gateway);
     let call = ask("draft", &[(9_000, 1_800)]);
     let mut grant = gateway.admit(START, &call).unwrap();
-    let asked = [snapshot(&outside, 12, 60.0), snapshot(&in_lane, 1, 0.0)];
+    let asked = [snapshot(&outside, 12, 60.0), snapshot(&in_pool, 1, 0.0)];
 
     let pick = gateway.pick(START, &call, &mut grant, &asked).unwrap();
 
--- a/core/tests/gateway/pool.rs
+++ b/core/tests/gateway/pool.rs
@@ -1,4 +1,4 @@
-//! How many engines are set apart for streams that long prompts would disturb.
+//! Tests the size of the isolated pool for streams that the prefill of long prompts would delay.
 
 use laburnumwheel_core::gateway::config::Engine;
 use laburnumwheel_core::gateway::pool::Pool;
@@ -12,8 +12,8 @@
     Engine { slots, kv_tokens: 600_000, tokens_per_event: 5 }
 }
 
-/// A pool after streams that lasted for 800 ms, their prompts for `prefill_ms` of it, beside other
-/// calls that read for `others_ms` meanwhile.
+/// A pool after streams that lasted for 800 ms, `prefill_ms` of it in prefill, and as many other
+/// calls with `others_ms` of prefill each.
 fn pool(prefill_ms: f64, others_ms: f64) -> Pool {
     let mut pool = Pool::default();
     for _ in 0..200 {
@@ -23,11 +23,11 @@
     pool
 }
 
-/// Questions with short prompts and short answers at engines of 64 places: by their places five
-/// engines would do, but these would do little but read, and every question would be late. By what
-/// they read they need three times as many.
+/// Short streams with short prompts at engines of 64 slots. Five engines have enough slots, but
+/// these would spend most of their time on prefill, and every stream would be late. For the prefill
+/// three times as many engines are needed.
 #[test]
-fn a_lane_has_room_for_the_prompts_of_its_own_streams() {
+fn the_pool_has_capacity_for_the_prefill_of_its_streams() {
     let few = pool(0.1, 0.0).size(START, 250, &engine(64), ENGINES);
     let many = pool(20.0, 0.0).size(START, 250, &engine(64), ENGINES);
 
@@ -35,18 +35,18 @@
     assert!((12..=20).contains(&many), "{many}");
 }
 
-/// With engines of sixteen places it is these that run out.
+/// With engines of 16 slots, the slots run out before the time for prefill does.
 #[test]
-fn a_lane_has_places_for_its_streams() {
+fn the_pool_has_slots_for_its_streams() {
     let size = pool(1.0, 0.0).size(START, 250, &engine(16), ENGINES);
 
     assert!((18..=25).contains(&size), "{size}");
 }
 
-/// A burst of reports keeps all engines reading all the time. The pool gives some of its engines up
-/// to them, instead of resting half of its time while they queue.
+/// A burst of long prompts keeps all engines busy with prefill. The pool gives up some of its
+/// engines instead of being idle half of the time while long prompts queue.
 #[test]
-fn a_lane_shares_in_an_overload() {
+fn the_pool_shrinks_under_overload() {
     let alone = pool(20.0, 20.0).size(START, 600, &engine(64), ENGINES);
     let beside = pool(20.0, 200.0).size(START, 600, &engine(64), ENGINES);
 
@@ -54,10 +54,10 @@
     assert!(beside >= 18, "{beside}");
 }
 
-/// A night of reports without a question, then questions again: within some hundred of them the pool
-/// is as large as if the night had not been.
+/// After a night of long prompts without a sensitive stream, such streams come again. Within some
+/// hundred of them, the pool is as large as before the night.
 #[test]
-fn a_time_without_sensitive_streams_is_forgotten() {
+fn a_time_without_sensitive_streams_has_no_lasting_effect() {
     let usual = pool(20.0, 0.0).size(START, 600, &engine(64), ENGINES);
     let mut pool = pool(20.0, 0.0);
     (0..1_000_000).for_each(|_| pool.record_other(100.0));
@@ -68,9 +68,9 @@
     assert_eq!(size, usual);
 }
 
-/// The edges: no stream, one engine, and streams that would take all engines.
+/// No stream, one engine, and more streams than all engines have slots for.
 #[test]
-fn a_lane_is_sound_at_its_edges() {
+fn the_pool_size_is_bounded() {
     assert_eq!(pool(20.0, 0.0).size(START, 0, &engine(64), ENGINES), 0);
     assert_eq!(pool(20.0, 0.0).size(START, 50, &engine(64), 1), 0);
     assert_eq!(pool(20.0, 0.0).size(START, 60_000, &engine(64), ENGINES), ENGINES * 3 / 5);
