--- a/core/tests/gateway/plan.rs
+++ b/core/tests/gateway/plan.rs
@@ -1,4 +1,4 @@
-//! What a decider makes of the reports of all gateways, and whose decision holds.
+//! Tests the decider's plans, their order, and the reports that they are based on.
 
 use std::collections::BTreeSet;
 
@@ -25,10 +25,11 @@
 const ENGINE: Engine = Engine { slots: 16, kv_tokens: 300_000, tokens_per_event: 5 };
 const CHAT: Span = Span::millis(150);
 const REPORT: Span = Span::millis(600);
-/// Long enough for a decider to know most gateways.
-const SETTLED: Span = Span::secs(2);
+/// Time after which a new decider publishes plans.
+const WARMED_UP: Span = Span::secs(2);
 
-/// A gateway with `chats` in progress, whose reports paused for 400 ms once in ten events.
+/// Report of a gateway with `chats` in progress, whose long streams paused for 400 ms in one of ten
+/// gaps.
 fn report(gateway: u32, chats: u16) -> Report {
     let mut tally = Tally::default();
     (0..chats).for_each(|_| tally.record_start(CHAT));
@@ -57,60 +58,61 @@
     Plan { service: SERVICE, epoch, by, pool_size: 20, isolated_pauses_ms: vec![150], age_ms: 0 }
 }
 
-/// Each of 200 gateways has one chat: none of them would set an engine apart, together they need a
-/// dozen.
+/// Each of 200 gateways has one chat. None of them would isolate an engine for it by its own
+/// observations, but together they need a dozen.
 #[test]
-fn what_each_sees_a_little_of_is_added_up() {
+fn reports_of_all_gateways_are_summed() {
     let mut planner = planner();
     (0..200).for_each(|gateway| planner.merge(START, &report(gateway, 1)));
 
-    let plan = decide(&mut planner, START + SETTLED, None).unwrap();
+    let plan = decide(&mut planner, START + WARMED_UP, None).unwrap();
 
     assert_eq!(plan.epoch, 1);
     assert!(plan.isolates(CHAT) && !plan.isolates(REPORT), "{plan:?}");
     assert!((14..=24).contains(&plan.pool_size), "{plan:?}");
 }
 
-/// A decider that has just begun has heard of a few gateways. Publishing what these have in progress
-/// would take the lane from the streams of all others.
+/// A new decider has reports of a few gateways only. A plan for their streams alone would be too
+/// small for those of all others.
 #[test]
-fn a_decider_that_has_just_begun_leaves_the_plan_as_it_is() {
+fn a_new_decider_leaves_the_plan_unchanged_during_its_warm_up() {
     let mut planner = planner();
     planner.merge(START, &report(1, 1));
 
     assert_eq!(decide(&mut planner, START + Span::millis(500), Some(&plan(9, 2))), None);
 }
 
-/// The decider is lost, and the next one goes on: its decision has a later epoch than all before, or
-/// gateways that know the last one would pass it over.
+/// The decider is lost. The epoch of the next decider's plan must be later than all before, or
+/// gateways that know the last plan would ignore it.
 #[test]
-fn the_next_decider_goes_on_from_the_last_epoch() {
+fn the_next_decider_continues_from_the_last_epoch() {
     let mut planner = planner();
     (0..200).for_each(|gateway| planner.merge(START, &report(gateway, 3)));
 
-    let next = decide(&mut planner, START + SETTLED, Some(&plan(9, 2))).unwrap();
+    let next = decide(&mut planner, START + WARMED_UP, Some(&plan(9, 2))).unwrap();
 
     assert_eq!(next.epoch, 10);
-    assert_eq!(decide(&mut planner, START + SETTLED, Some(&next)), None, "nothing has changed");
+    assert_eq!(decide(&mut planner, START + WARMED_UP, Some(&next)), None, "nothing has changed");
 }
 
 #[test]
-fn a_gateway_that_is_not_heard_of_any_more_has_no_streams() {
+fn streams_of_a_gateway_without_reports_expire() {
     let mut planner = planner();
     (0..200).for_each(|gateway| planner.merge(START, &report(gateway, 3)));
-    let before = decide(&mut planner, START + SETTLED, None).unwrap();
+    let before = decide(&mut planner, START + WARMED_UP, None).unwrap();
 
     let after = decide(&mut planner, START + Span::secs(9), Some(&before)).unwrap();
 
     assert_eq!(after.pool_size, 0);
 }
 
-/// One engine rests for a moment. The end of the lane would move for all calls, there and back.
+/// One engine is in backoff for a moment. A new plan would move the pool's boundary for all calls, and
+/// the next plan would move it back.
 #[test]
-fn an_engine_that_rests_for_a_moment_does_not_move_the_lane() {
+fn a_short_backoff_of_an_engine_does_not_resize_the_pool() {
     let mut planner = planner();
     (0..200).for_each(|gateway| planner.merge(START, &report(gateway, 1)));
-    let now = START + SETTLED;
+    let now = START + WARMED_UP;
     let input = |known| Input { service: SERVICE, engine: &ENGINE, engines: ENGINES, known };
     let longer = planner.decide(now, 1, &input(None), |wanted| wanted + 1).unwrap();
 
@@ -119,10 +121,10 @@
     assert_eq!(again, None);
 }
 
-/// Two gateways take themselves for the decider for a moment, and a late heartbeat brings an earlier
-/// plan. All gateways must end with the same one, in whatever order they hear of them.
+/// Two gateways consider themselves the decider for a moment, and a late heartbeat has an earlier
+/// plan. All gateways must end with the same plan, in whatever order they receive these.
 #[test]
-fn the_latest_plan_holds_in_whatever_order_they_come() {
+fn the_latest_plan_prevails_in_any_order_of_receipt() {
     let mut all = [plan(3, 1), plan(4, 1), plan(4, 2), plan(2, 9)];
     let mut held = BTreeSet::new();
     for _ in 0..all.len() {
@@ -138,20 +140,21 @@
 }
 
 #[test]
-fn a_plan_is_passed_on_with_its_age() {
+fn a_plan_is_gossiped_with_its_age() {
     let mut table = Table::default();
-    let heard = table.receive(START, &Plan { age_ms: 300, ..plan(1, 1) });
+    let first = table.receive(START, &Plan { age_ms: 300, ..plan(1, 1) });
 
-    let told = table.gossip(START + Span::millis(200));
+    let gossiped = table.gossip(START + Span::millis(200));
 
-    assert_eq!(heard, Some(Comparison::Newer));
-    assert_eq!(table.receive(START, &told[0]), Some(Comparison::Same));
-    assert_eq!(told[0].age_ms, 500);
+    assert_eq!(first, Some(Comparison::Newer));
+    assert_eq!(table.receive(START, &gossiped[0]), Some(Comparison::Same));
+    assert_eq!(gossiped[0].age_ms, 500);
 }
 
-/// The last chat of a gateway has ended. Untold, the decider would keep an engine for it for seconds.
+/// The last chat of a gateway has ended. Without a report, the decider would keep an engine for it
+/// for some seconds.
 #[test]
-fn the_end_of_the_last_stream_is_told() {
+fn the_end_of_the_last_stream_is_reported() {
     let mut tally = Tally::default();
     tally.record_start(CHAT);
     let with_one = tally.take(SERVICE).unwrap();
@@ -161,13 +164,14 @@
 
     assert_eq!(with_one.streams[0].open, 1);
     assert!(without.is_some_and(|sums| sums.streams.iter().all(|stream| stream.open == 0)));
-    assert_eq!(tally.take(SERVICE), None, "nothing more to tell");
+    assert_eq!(tally.take(SERVICE), None, "nothing more to report");
 }
 
 proptest! {
-    /// Whatever a peer reports, the plan stays within the engines and within what a datagram holds.
+    /// Whatever a peer reports, the plan's pool has no more engines than there are, and its pauses
+    /// fit a datagram.
     #[test]
-    fn any_report_may_come(
+    fn a_plan_is_bounded_for_any_report(
         pauses in proptest::collection::vec(any::<u32>(), 0..40),
         open in any::<u16>(),
         events in any::<u32>(),
@@ -183,9 +187,9 @@
         let foreign = Sums { service, ..Sums::default() };
         let mut planner = planner();
         planner.merge(START, &Report { gateway: 1, services: vec![sums, foreign] });
-        planner.decay(START + SETTLED);
+        planner.decay(START + WARMED_UP);
 
-        if let Some(plan) = decide(&mut planner, START + SETTLED, None) {
+        if let Some(plan) = decide(&mut planner, START + WARMED_UP, None) {
             prop_assert!(usize::from(plan.pool_size) <= ENGINES);
             prop_assert!(plan.isolated_pauses_ms.len() <= 16);
         }
