--- a/core/src/gateway/directory.rs
+++ b/core/src/gateway/directory.rs
@@ -1,7 +1,9 @@
-//! The gateways that callers may use, and how they learn of one another.
+//! Directory of gateways: which of them live, which accept callers, and which have a role for all.
 //!
-//! Two sources are joined: the list in the store, which survives any gateway but lags and can be
-//! out of reach, and heartbeats between gateways, which are quick but lost now and then.
+//! The directory combines the list of entries in the store with heartbeats between gateways. The
+//! list needs no gateway to be up, but it lags and may be unreachable. Heartbeats are fast, but
+//! some are lost. The roles (readers, decider, owners of engines) follow from the set of live
+//! gateways alone, so that gateways with the same view agree on them.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -21,93 +23,97 @@
 use crate::time::Span;
 use crate::time::Time;
 
-/// A gateway without a heartbeat for this long gets no new callers: several heartbeats, so that
-/// lost datagrams alone do not take it out.
-const SILENT: Span = Span::millis(1_800);
-/// How long a gateway that was seen counts as one that may spend a share of a budget.
-const REMEMBERED: Span = Span::secs(20);
-/// Gateways of the caller's own failure domain that are enough for an answer.
-const ENOUGH: usize = 2;
-/// Gateways that read the store for all: so many that two may be lost at a time.
-const READERS: usize = 3;
-/// One reader more for so many times the square root of the fleet's size. Readers cost calls of the
-/// store, and each takes the questions of its part of the fleet; at the square root both grow alike. 7
-/// readers of 295 gateways answer 80 questions a second each; half as many would answer twice as many.
-const ROOTS_PER_READER: usize = 4;
-/// Most addresses in an answer.
-const ADDRESSES: usize = 16;
+/// Time without a heartbeat after which a gateway counts as dead and gets no new callers. It covers
+/// several heartbeats, so that a few lost datagrams do not matter.
+const LIVENESS_TIMEOUT: Span = Span::millis(1_800);
+/// Time after its last entry or heartbeat in which a gateway counts as sharing the retry budget.
+const RETENTION: Span = Span::secs(20);
+/// Number of gateways in the caller's failure domain from which on no others are returned.
+const ENOUGH_LOCAL: usize = 2;
+/// Least number of readers, the gateways that read the store for all: two may fail at a time.
+const MIN_READERS: usize = 3;
+/// Divisor of the square root of the fleet's size that gives the number of additional readers. Each
+/// reader calls the store and answers the questions of its part of the fleet; with the square root
+/// both loads grow alike. With 295 gateways, 7 readers answer 80 questions a second each; half as
+/// many readers would answer twice as many.
+const READER_DIVISOR: usize = 4;
+/// Upper bound on the addresses returned to a caller.
+const MAX_ADDRESSES: usize = 16;
 
-/// A gateway's entry.
+/// Entry of a gateway.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Entry {
     /// Name, unique among the gateways.
     pub name: String,
-    /// Address for callers.
+    /// Address that callers connect to.
     pub address: String,
-    /// Address for heartbeats.
+    /// Address for messages of other gateways.
     pub peer_address: String,
     /// Failure domain.
     pub domain: String,
-    /// Number of its run, higher than that of any earlier one.
+    /// Number of its incarnation, higher than that of any earlier one.
     pub incarnation: u64,
-    /// Relative capacity.
+    /// Capacity relative to other gateways.
     pub weight: u32,
 }
 
-/// What a heartbeat says besides who sent it.
+/// Message that each gateway sends to some others in every round.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct Heartbeat {
-    /// The sender.
+    /// Entry of the sender.
     pub entry: Entry,
-    /// Demand of gateways, the sender's own among it.
+    /// Demand of gateways, beginning with the sender's own.
     pub demands: Vec<Demand>,
-    /// Loads of replicas.
+    /// Loads of replicas that any gateway observed.
     pub loads: Vec<Observation>,
-    /// What prompts cost at the engines of services.
+    /// Prefill estimates of services.
     #[serde(rename = "paces")]
     pub prefill: Vec<prefill::Estimate>,
-    /// What gateways agree on, by service.
+    /// Plans in force, one for each service.
     pub plans: Vec<Plan>,
-    /// Recent changes of the quarantine.
+    /// Recent records of the quarantine.
     #[serde(rename = "suspects")]
     pub quarantine: Vec<quarantine::Record>,
-    /// Version of its configuration.
+    /// Version of the sender's configuration.
     pub version: u64,
-    /// Age of its proof that this version is the newest, in microseconds.
+    /// Age of the sender's proof that its configuration is current, in microseconds.
     pub proof_age: Option<u64>,
 }
 
 #[derive(Debug)]
 struct Member {
     entry: Entry,
-    short: u32,
+    short_hash: u32,
     listed: bool,
     open: bool,
-    heard: Option<Time>,
-    seen: Time,
-    since: Time,
+    /// Time of the newest heartbeat, received or relayed by another gateway.
+    last_heartbeat: Option<Time>,
+    /// Time when the gateway was last listed or sent a heartbeat.
+    last_seen: Time,
+    /// Time when this incarnation was first seen.
+    first_seen: Time,
 }
 
 impl Member {
     fn is_live(&self, now: Time) -> bool {
-        self.heard.is_some_and(|at| now.since(at) < SILENT)
+        self.last_heartbeat.is_some_and(|at| now.since(at) < LIVENESS_TIMEOUT)
     }
 }
 
-/// All gateways that were seen, without this one.
+/// All other gateways that were seen lately.
 #[derive(Debug, Default)]
 pub struct Directory {
     members: BTreeMap<String, Member>,
     demands: Demands,
 }
 
-/// Short hash of a gateway's name, by which gateways speak of it.
+/// Short hash of a name, which identifies a gateway or a service in messages between gateways.
 pub fn short_hash(name: &str) -> u32 {
     rendezvous::hash(&[name.as_bytes()]) as u32
 }
 
 impl Directory {
-    /// Takes the store's list in.
+    /// Updates the directory by the list in the store.
     pub fn update(&mut self, now: Time, entries: Vec<Entry>) {
         for member in self.members.values_mut() {
             member.listed = false;
@@ -115,9 +121,9 @@
         for entry in entries {
             let member = self.member(now, entry);
             member.listed = true;
-            member.seen = now;
+            member.last_seen = now;
         }
-        self.members.retain(|_, m| now.since(m.seen) < REMEMBERED);
+        self.members.retain(|_, m| now.since(m.last_seen) < RETENTION);
     }
 
     /// Merges a heartbeat.
@@ -126,14 +132,14 @@
         if heartbeat.entry.incarnation < member.entry.incarnation {
             return;
         }
-        member.seen = now;
+        member.last_seen = now;
         self.demands.receive(now, &heartbeat.demands);
         for member in self.members.values_mut() {
-            if let Some((at, open)) = self.demands.latest(member.short)
-                && member.heard.is_none_or(|heard| heard < at)
+            if let Some((at, open)) = self.demands.latest(member.short_hash)
+                && member.last_heartbeat.is_none_or(|last| last < at)
             {
-                member.heard = Some(at);
-                member.seen = member.seen.max(at);
+                member.last_heartbeat = Some(at);
+                member.last_seen = member.last_seen.max(at);
                 member.open = open;
             }
         }
@@ -144,93 +150,107 @@
         self.demands.gossip(now)
     }
 
-    /// Sensitive streams of the other gateways.
+    /// Number of sensitive streams in progress at the other gateways.
     pub fn sensitive_streams(&self, now: Time) -> u32 {
         self.demands.sensitive_streams(now)
     }
 
     fn member(&mut self, now: Time, entry: Entry) -> &mut Member {
-        let fresh = |entry: Entry| {
-            let short = short_hash(&entry.name);
-            Member { entry, short, listed: false, open: true, heard: None, seen: now, since: now }
+        let new_member = |entry: Entry| {
+            let short_hash = short_hash(&entry.name);
+            Member {
+                entry,
+                short_hash,
+                listed: false,
+                open: true,
+                last_heartbeat: None,
+                last_seen: now,
+                first_seen: now,
+            }
         };
-        let member = self.members.entry(entry.name.clone()).or_insert_with(|| fresh(entry.clone()));
+        let member =
+            self.members.entry(entry.name.clone()).or_insert_with(|| new_member(entry.clone()));
         if entry.incarnation > member.entry.incarnation {
-            *member = fresh(entry);
+            *member = new_member(entry);
         }
         member
     }
 
-    /// Addresses for heartbeats.
+    /// Addresses to send heartbeats to.
     pub fn peer_addresses(&self) -> impl Iterator<Item = &str> {
         self.members.values().map(|m| m.entry.peer_address.as_str())
     }
 
-    /// Addresses of the gateways that read the store for all, and whether this one, `own`, is one.
+    /// Addresses of the readers, the gateways that read the store for all, and whether this gateway
+    /// with entry `own` is a reader too.
     ///
-    /// Of those that live the ones of the greatest weight, for their links are wide and their proofs
-    /// young; among equals the first by hash. All gateways agree but for a moment, and one that
-    /// disagrees only reads once more, or asks one that asks itself.
+    /// Readers are the live gateways of the greatest weight, whose links are the widest and whose
+    /// proofs the youngest; gateways of equal weight are ordered by hash. If views
+    /// differ for a moment, a gateway at worst reads the store once too often, or asks a gateway
+    /// that itself asks another one.
     pub fn readers(&self, now: Time, own: &Entry) -> (Vec<String>, bool) {
-        let rank = |short: u32, entry: &Entry| (Reverse(entry.weight), short);
+        let rank = |hash: u32, entry: &Entry| (Reverse(entry.weight), hash);
         let live = self.members.values().filter(|m| m.is_live(now));
         let address = |m: &Member| m.entry.peer_address.clone();
-        let mut all: Vec<_> = live.map(|m| (rank(m.short, &m.entry), Some(address(m)))).collect();
+        let mut all: Vec<_> =
+            live.map(|m| (rank(m.short_hash, &m.entry), Some(address(m)))).collect();
         all.push((rank(short_hash(&own.name), own), None));
         all.sort();
-        all.truncate(READERS + all.len().isqrt() / ROOTS_PER_READER);
+        all.truncate(MIN_READERS + all.len().isqrt() / READER_DIVISOR);
         let is_reader = all.iter().any(|(_, address)| address.is_none());
         (all.into_iter().filter_map(|(_, address)| address).collect(), is_reader)
     }
 
-    /// Address of the gateway that decides for all, or `None` if that is this one: of those that live
-    /// and take callers the first in the order of the readers. `own` is this gateway's entry if it
-    /// takes callers itself.
+    /// Address of the decider, the gateway that decides the plans for all: the first in the order
+    /// of the readers among the live gateways that accept callers. `None` if it is this gateway, or
+    /// if no gateway accepts callers. `own` is this gateway's entry if it accepts callers.
     pub fn decider(&self, now: Time, own: Option<&Entry>) -> Option<String> {
-        let rank = |short: u32, entry: &Entry| (Reverse(entry.weight), short);
+        let rank = |hash: u32, entry: &Entry| (Reverse(entry.weight), hash);
         let open = self.members.values().filter(|m| m.open && m.is_live(now));
-        let first = open.min_by_key(|m| rank(m.short, &m.entry))?;
+        let first = open.min_by_key(|m| rank(m.short_hash, &m.entry))?;
         let before =
-            |own: &Entry| rank(short_hash(&own.name), own) < rank(first.short, &first.entry);
+            |own: &Entry| rank(short_hash(&own.name), own) < rank(first.short_hash, &first.entry);
         (!own.is_some_and(before)).then(|| first.entry.peer_address.clone())
     }
 
-    /// Owner of an engine, with its address for datagrams; `None` if that is this gateway,
-    /// `own`.
+    /// Owner of an engine, by the short hash of its name and its address for datagrams; `None` if
+    /// it is this gateway, whose name is `own`.
     pub fn owner(&self, now: Time, own: &str, engine: Digest) -> Option<(u32, &str)> {
         let score = |gateway: u32| rendezvous::score(u64::from(engine.0), u64::from(gateway));
         let own = score(short_hash(own));
         let live = self.members.values().filter(|m| m.is_live(now));
-        let first = live.max_by_key(|m| score(m.short))?;
+        let first = live.max_by_key(|m| score(m.short_hash))?;
         let address = first.entry.peer_address.as_str();
-        (score(first.short) > own).then_some((first.short, address))
+        (score(first.short_hash) > own).then_some((first.short_hash, address))
     }
 
-    /// Place of this gateway, `own`, in the order of the readers among all that live; 0 is the first.
+    /// Rank of this gateway, with entry `own`, in the order of the readers among all live gateways;
+    /// 0 is the first.
     pub fn reader_rank(&self, now: Time, own: &Entry) -> usize {
-        let rank = |short: u32, entry: &Entry| (Reverse(entry.weight), short);
+        let rank = |hash: u32, entry: &Entry| (Reverse(entry.weight), hash);
         let own = rank(short_hash(&own.name), own);
         let live = self.members.values().filter(|m| m.is_live(now));
-        live.filter(|m| rank(m.short, &m.entry) < own).count()
+        live.filter(|m| rank(m.short_hash, &m.entry) < own).count()
     }
 
-    /// Another live gateway that holds copies for this one, `own`, with its address for datagrams.
+    /// The live gateway other than `except` that holds copies for this one, whose name is `own`:
+    /// the short hash of its name and its address for datagrams.
     pub fn backup(&self, now: Time, own: &str, except: Option<u32>) -> Option<(u32, &str)> {
         let own = u64::from(short_hash(own));
-        let live = self.members.values().filter(|m| m.is_live(now) && Some(m.short) != except);
-        let first = live.max_by_key(|m| rendezvous::score(own, u64::from(m.short)))?;
-        Some((first.short, first.entry.peer_address.as_str()))
+        let live = self.members.values().filter(|m| m.is_live(now) && Some(m.short_hash) != except);
+        let first = live.max_by_key(|m| rendezvous::score(own, u64::from(m.short_hash)))?;
+        Some((first.short_hash, first.entry.peer_address.as_str()))
     }
 
-    /// Address for datagrams of the gateway with this short hash.
+    /// Address for datagrams of the gateway whose name has this short hash.
     pub fn address(&self, gateway: u32) -> Option<&str> {
-        let member = self.members.values().find(|m| m.short == gateway)?;
+        let member = self.members.values().find(|m| m.short_hash == gateway)?;
         Some(member.entry.peer_address.as_str())
     }
 
-    /// Whether a gateway is alive.
+    /// Whether the gateway whose name has this short hash is live.
     pub fn is_live(&self, now: Time, gateway: u32) -> bool {
-        self.members.values().any(|m| m.short == gateway && m.is_live(now))
+        self.members.values().any(|m| m.short_hash == gateway && m.is_live(now))
     }
 
     /// Number of live peers.
@@ -238,12 +258,13 @@
         self.members.values().filter(|m| m.is_live(now)).count()
     }
 
-    /// Gateways that may be spending a share of a budget, this one included.
+    /// Number of gateways that may spend a share of the retry budget, including this one.
     pub fn gateway_count(&self) -> usize {
         self.members.len() + 1
     }
 
-    /// Addresses for a caller in `domain`; `own` is this gateway's entry if it takes callers.
+    /// Addresses for a caller in the failure domain `domain`, in random order. `own` is this
+    /// gateway's entry if it accepts callers.
     pub fn select_addresses(
         &self,
         now: Time,
@@ -251,33 +272,34 @@
         domain: &str,
         rng: &mut SmallRng,
     ) -> Vec<String> {
-        let hears = self.members.values().any(|m| m.is_live(now));
-        let alive = |m: &&Member| match m.heard {
-            Some(_) => m.open && (!hears || m.is_live(now)),
-            // Entries outlive their gateways by the length of a lease. One that others would have
-            // seen by now, had it been alive, is such an entry: a gateway that has just started itself
-            // knows no better, and its callers would lose a second each.
-            None => m.open && m.listed && (!hears || now.since(m.since) < SILENT),
+        let any_live = self.members.values().any(|m| m.is_live(now));
+        let accepts_callers = |m: &&Member| match m.last_heartbeat {
+            Some(_) => m.open && (!any_live || m.is_live(now)),
+            // A listed gateway without any heartbeat is returned for one timeout only. Its entry
+            // may outlive it until the lease ends, and a caller that is sent to a dead gateway
+            // loses a second. A gateway that has just started cannot tell the two cases apart.
+            None => m.open && m.listed && (!any_live || now.since(m.first_seen) < LIVENESS_TIMEOUT),
         };
-        let others = self.members.values().filter(alive).map(|m| &m.entry);
+        let others = self.members.values().filter(accepts_callers).map(|m| &m.entry);
         let all: Vec<&Entry> = others.chain(own).collect();
-        let near: Vec<&Entry> = all.iter().filter(|e| e.domain == domain).copied().collect();
-        let mut chosen = if near.len() >= ENOUGH { near } else { all };
-        chosen.shuffle(rng);
-        weigh(&chosen, rng).into_iter().take(ADDRESSES).collect()
+        let local: Vec<&Entry> = all.iter().filter(|e| e.domain == domain).copied().collect();
+        let mut candidates = if local.len() >= ENOUGH_LOCAL { local } else { all };
+        candidates.shuffle(rng);
+        sample_by_weight(&candidates, rng).into_iter().take(MAX_ADDRESSES).collect()
     }
 }
 
-/// Keeps the larger gateways surely and the smaller ones in proportion, for callers draw evenly.
-fn weigh(entries: &[&Entry], rng: &mut SmallRng) -> Vec<String> {
-    let most = entries.iter().map(|e| e.weight).max().unwrap_or(1).max(1);
-    let mut kept: Vec<String> = entries
+/// Samples addresses with a probability proportional to the gateway's weight; gateways of the
+/// greatest weight are always included. Callers choose evenly among the addresses that they get.
+fn sample_by_weight(entries: &[&Entry], rng: &mut SmallRng) -> Vec<String> {
+    let max_weight = entries.iter().map(|e| e.weight).max().unwrap_or(1).max(1);
+    let mut sample: Vec<String> = entries
         .iter()
-        .filter(|e| rng.random_range(0..most) < e.weight.max(1))
+        .filter(|e| rng.random_range(0..max_weight) < e.weight.max(1))
         .map(|e| e.address.clone())
         .collect();
-    if kept.is_empty() {
-        kept.extend(entries.first().map(|e| e.address.clone()));
+    if sample.is_empty() {
+        sample.extend(entries.first().map(|e| e.address.clone()));
     }
-    kept
+    sample
 }
--- a/core/src/gateway/gossip.rs
+++ b/core/src/gateway/gossip.rs
@@ -1,8 +1,9 @@
-//! What gateways gossip in every heartbeat: loads of replicas and demand of gateways.
+//! Gossip in heartbeats: loads of replicas and demand of gateways.
 //!
-//! A gateway of many sees few answers of any one replica, and what it knows is old when it
-//! matters. Passed on with their age, the sightings of all gateways reach each of them within a
-//! few rounds, at a cost that depends on the number of replicas and not on that of calls.
+//! In a large fleet each gateway receives few replies of any one replica, so its own observations
+//! are out of date. Gateways therefore pass on all observations with their age. Within a few
+//! rounds an observation reaches all gateways, at a cost that depends on the number of replicas and
+//! not on the number of calls.
 
 use std::collections::BTreeMap;
 
@@ -13,21 +14,21 @@
 use crate::time::Span;
 use crate::time::Time;
 
-/// Older sightings are not passed on.
-const OLDEST: Span = Span::millis(1_200);
-/// Older demand counts for nothing: the gateway is gone.
-const DEMAND_LIFE: Span = Span::millis(3_000);
-/// Sightings in one heartbeat, so that it fits a datagram.
+/// Age from which on observations are not passed on.
+const MAX_AGE: Span = Span::millis(1_200);
+/// Age from which on the demand of a gateway is ignored, because the gateway has probably ended.
+const DEMAND_VALID: Span = Span::millis(3_000);
+/// Upper bound on entries of one kind in a heartbeat, so that it fits into a datagram.
 pub const MAX_ENTRIES: usize = 100;
 
-/// Load of a replica.
+/// Observed load of a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Observation {
-    /// Run of the replica.
+    /// Incarnation of the replica.
     pub replica: Digest,
-    /// Calls it works on.
+    /// Calls that run.
     pub running: u16,
-    /// Calls that wait inside it.
+    /// Calls that wait inside the replica.
     pub waiting: u16,
     /// Age in milliseconds.
     pub age_ms: u16,
@@ -38,24 +39,24 @@
 pub struct Demand {
     /// Short hash of the gateway's name.
     pub gateway: u32,
-    /// It takes callers.
+    /// Whether the gateway accepts callers.
     pub open: bool,
-    /// Streams in progress that long prompts would disturb.
+    /// Streams in progress that the prefill of long prompts would delay.
     pub sensitive: u16,
     /// Age in milliseconds.
     pub age_ms: u16,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Stamped<T> {
+struct Timestamped<T> {
     value: T,
     at: Time,
 }
 
-/// Demand of all gateways, each as last seen.
+/// Newest known demand of each gateway.
 #[derive(Debug, Default)]
 pub struct Demands {
-    all: BTreeMap<u32, Stamped<Demand>>,
+    by_gateway: BTreeMap<u32, Timestamped<Demand>>,
 }
 
 /// The time `age_ms` before `now`.
@@ -63,45 +64,45 @@
     now - Span::millis(u64::from(age_ms))
 }
 
-/// Milliseconds from `at` to `now`, for a sighting that is young enough to be passed on.
+/// Milliseconds from `at` to `now`; `None` if an observation of that age is not passed on.
 pub fn age_ms(now: Time, at: Time) -> Option<u16> {
     let age = now.since(at);
-    (age < OLDEST).then_some(age.as_millis() as u16)
+    (age < MAX_AGE).then_some(age.as_millis() as u16)
 }
 
 impl Demands {
     /// Merges the demand that a peer gossips.
     pub fn receive(&mut self, now: Time, demands: &[Demand]) {
         for demand in demands {
-            let heard = Stamped { value: *demand, at: time_before(now, demand.age_ms) };
-            let known = self.all.entry(demand.gateway).or_insert(heard);
-            if heard.at > known.at {
-                *known = heard;
+            let received = Timestamped { value: *demand, at: time_before(now, demand.age_ms) };
+            let known = self.by_gateway.entry(demand.gateway).or_insert(received);
+            if received.at > known.at {
+                *known = received;
             }
         }
-        self.all.retain(|_, d| now.since(d.at) < DEMAND_LIFE);
+        self.by_gateway.retain(|_, d| now.since(d.at) < DEMAND_VALID);
     }
 
     /// Demand to gossip, the youngest first.
     pub fn gossip(&self, now: Time) -> Vec<Demand> {
-        let mut young: Vec<Demand> = self
-            .all
+        let mut recent: Vec<Demand> = self
+            .by_gateway
             .values()
             .filter_map(|d| age_ms(now, d.at).map(|age_ms| Demand { age_ms, ..d.value }))
             .collect();
-        young.sort_by_key(|d| d.age_ms);
-        young.truncate(MAX_ENTRIES);
-        young
+        recent.sort_by_key(|d| d.age_ms);
+        recent.truncate(MAX_ENTRIES);
+        recent
     }
 
-    /// Sensitive streams of all other gateways.
+    /// Number of sensitive streams in progress at all gateways with a known demand.
     pub fn sensitive_streams(&self, now: Time) -> u32 {
-        let live = self.all.values().filter(|d| now.since(d.at) < DEMAND_LIFE);
+        let live = self.by_gateway.values().filter(|d| now.since(d.at) < DEMAND_VALID);
         live.map(|d| u32::from(d.value.sensitive)).sum()
     }
 
-    /// When a gateway was last known to live, and whether it took callers then.
+    /// Time of a gateway's newest known demand, and whether it accepted callers then.
     pub fn latest(&self, gateway: u32) -> Option<(Time, bool)> {
-        self.all.get(&gateway).map(|d| (d.at, d.value.open))
+        self.by_gateway.get(&gateway).map(|d| (d.at, d.value.open))
     }
 }
