--- a/core/src/gateway/budget.rs
+++ b/core/src/gateway/budget.rs
@@ -1,27 +1,27 @@
-//! One gateway's share of the retry budget that all gateways spend together.
+//! One gateway's share of the retry budget of the fleet.
 //!
-//! In any window a service may get at most `ratio` × its calls + `extra` further attempts, summed
-//! over all gateways. Each gateway earns the ratio on the calls it took itself, which needs no
-//! agreement, and uses an equal share of `extra`. A gateway that has just started does not know
-//! what it spent before, so it has no share until one window has passed; the number of gateways
-//! is the most seen in a window, so that a stale or shrunken view never makes a share too large.
+//! In any window a service gets at most `ratio` × its calls + `extra` retries, summed over all
+//! gateways. Each gateway may spend the ratio of its own calls, which needs no coordination, and an
+//! equal share of `extra`. A gateway that has just started does not know how much it spent before,
+//! so it gets no share of `extra` until one window has passed. The number of gateways includes
+//! those seen recently, so that a stale or shrunken view never makes a share too large.
 
 use std::collections::VecDeque;
 
 use crate::time::Span;
 use crate::time::Time;
 
-/// Part of the budget that is used; the rest covers calls that cross the edge of a window.
-const USED: f64 = 0.85;
-/// Width of a bucket in which calls and retries are counted.
-const BUCKET: Span = Span::millis(500);
+/// Share of the budget that is spent; the rest covers calls at the border of two windows.
+const SPENDABLE_SHARE: f64 = 0.85;
+/// Width of the buckets that calls and retries are counted in.
+const BUCKET_WIDTH: Span = Span::millis(500);
 
-/// Rules of the fleet's budget.
+/// Rules of the fleet's retry budget.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rules {
-    /// Further attempts per call.
+    /// Retries per call.
     pub ratio: f64,
-    /// Further attempts in a window besides.
+    /// Additional retries of the whole fleet in each window.
     pub extra: f64,
     /// Length of the window.
     pub window: Span,
@@ -29,33 +29,33 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Bucket {
-    at: u64,
+    index: u64,
     calls: u32,
     retries: u32,
 }
 
-/// Spending on one service.
+/// Calls and retries of one service at this gateway.
 #[derive(Debug)]
 pub struct Budget {
     rules: Rules,
-    began: Time,
+    started_at: Time,
     buckets: VecDeque<Bucket>,
 }
 
 impl Budget {
-    /// A budget of a gateway that started at `began`.
-    pub fn new(rules: Rules, began: Time) -> Budget {
-        Budget { rules, began, buckets: VecDeque::new() }
+    /// The budget of a gateway that started at `started_at`.
+    pub fn new(rules: Rules, started_at: Time) -> Budget {
+        Budget { rules, started_at, buckets: VecDeque::new() }
     }
 
     fn bucket(&mut self, now: Time) -> &mut Bucket {
-        let at = now.0 / BUCKET.0;
-        let kept = self.rules.window.0 / BUCKET.0 + 1;
-        while self.buckets.front().is_some_and(|b| b.at + kept < at) {
+        let index = now.0 / BUCKET_WIDTH.0;
+        let kept = self.rules.window.0 / BUCKET_WIDTH.0 + 1;
+        while self.buckets.front().is_some_and(|b| b.index + kept < index) {
             self.buckets.pop_front();
         }
-        if self.buckets.back().is_none_or(|b| b.at < at) {
-            self.buckets.push_back(Bucket { at, calls: 0, retries: 0 });
+        if self.buckets.back().is_none_or(|b| b.index < index) {
+            self.buckets.push_back(Bucket { index, calls: 0, retries: 0 });
         }
         let last = self.buckets.len() - 1;
         &mut self.buckets[last]
@@ -66,17 +66,17 @@
         self.bucket(now).calls += 1;
     }
 
-    /// Further attempts that are left, with `gateways` sharing.
+    /// Retries that are left, if `gateways` gateways share the budget.
     pub fn remaining(&mut self, now: Time, gateways: usize) -> f64 {
         self.bucket(now);
         let calls: u32 = self.buckets.iter().map(|b| b.calls).sum();
         let retries: u32 = self.buckets.iter().map(|b| b.retries).sum();
-        let shared = now.since(self.began) > self.rules.window;
-        let share = if shared { self.rules.extra / gateways.max(1) as f64 } else { 0.0 };
-        USED * (self.rules.ratio * f64::from(calls) + share) - f64::from(retries)
+        let has_share = now.since(self.started_at) > self.rules.window;
+        let share = if has_share { self.rules.extra / gateways.max(1) as f64 } else { 0.0 };
+        SPENDABLE_SHARE * (self.rules.ratio * f64::from(calls) + share) - f64::from(retries)
     }
 
-    /// Takes one further attempt; `false` if the budget is spent.
+    /// Spends one retry; `false` if none is left.
     pub fn spend_retry(&mut self, now: Time, gateways: usize) -> bool {
         if self.remaining(now, gateways) < 1.0 {
             return false;
--- a/core/src/gateway/config.rs
+++ b/core/src/gateway/config.rs
@@ -1,4 +1,7 @@
-//! A gateway's configuration: routes, services, organisations and limits.
+//! Configuration of a gateway: routes, services, organisations and limits.
+//!
+//! A [`Config`] is one immutable version. It is built by its `with_` methods, which index routes by
+//! host and prefix, and organisations by their keys.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,52 +12,52 @@
 
 use crate::time::Span;
 
-/// Share of a route's calls that go to one service.
+/// Service that gets a share of a route's calls.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Target {
-    /// Service by name.
+    /// Name of the service.
     pub service: String,
-    /// Relative weight.
+    /// Weight relative to the route's other targets.
     pub weight: u32,
 }
 
-/// Rules for the calls below one host and path prefix.
+/// Rules for the calls under one host and path prefix.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Route {
     /// Name, unique in the configuration.
     pub name: String,
-    /// Host in lower case.
+    /// Host name in lower case.
     pub host: String,
     /// Path prefix, beginning and ending with a slash.
     pub prefix: String,
-    /// The answer is a series of events.
+    /// Whether the answer is a stream of events.
     pub streams: bool,
-    /// A call may run more than once; for a stream: it may go on elsewhere.
+    /// Whether a call may run more than once, or a stream be continued by another replica.
     pub idempotent: bool,
-    /// Longest time a caller is kept waiting.
+    /// Upper bound on the time that a caller waits.
     pub timeout: Span,
-    /// Time within which an answer, or a stream's first event, is on time.
+    /// Time within which an answer, or the first event of a stream, is on time.
     pub objective: Span,
-    /// Longest pause between events of a stream that is on time; zero if any is.
+    /// Longest pause between events of a stream that is on time; zero if there is no bound.
     pub pause: Span,
-    /// Rank; 0 is the highest.
+    /// Rank of the route; 0 is the highest.
     pub priority: u8,
-    /// Where calls go.
+    /// Services that calls go to.
     pub targets: Vec<Target>,
-    /// Most replicas that one call may be sent to.
+    /// Upper bound on the replicas that one call is sent to.
     pub attempts: u32,
-    /// Needs no key.
+    /// Whether calls need no key.
     pub public: bool,
 }
 
-/// What is known of the model engines of a service.
+/// Properties of the model engines of a service.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Engine {
     /// Requests in one batch.
     pub slots: u32,
-    /// Memory for running requests and cached prompt parts, in tokens.
+    /// Capacity of the key-value cache, for running requests and cached prompts, in tokens.
     pub kv_tokens: u64,
-    /// Tokens in one event of a stream.
+    /// Number of tokens in one event of a stream.
     #[serde(rename = "stride")]
     pub tokens_per_event: u32,
 }
@@ -64,9 +67,9 @@
 pub struct Service {
     /// Name, unique in the configuration.
     pub name: String,
-    /// Open connections that one replica accepts from all gateways together.
+    /// Upper bound on the connections that one replica accepts from all gateways together.
     pub connections: u32,
-    /// Its replicas are model engines.
+    /// Properties of its replicas if these are model engines; `None` for a plain service.
     pub engine: Option<Engine>,
 }
 
@@ -75,29 +78,30 @@
 pub struct Organisation {
     /// Name, unique in the configuration.
     pub name: String,
-    /// Rank that goes before a route's.
+    /// Rank among organisations, which is compared after the route's rank; 0, the highest, if
+    /// `None`.
     pub priority: Option<u8>,
 }
 
 /// An organisation with its keys.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Account {
-    /// The organisation.
+    /// Organisation that holds the keys.
     pub organisation: Organisation,
-    /// Its keys in order.
+    /// Keys of the organisation, in order.
     pub keys: Vec<Bytes>,
 }
 
-/// Bounds on what callers send.
+/// Limits on the requests of callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Limits {
     /// Largest head, in bytes.
     pub head: usize,
     /// Largest body, in bytes.
     pub body: usize,
-    /// Longest time to send a head or a body.
+    /// Longest time that a caller may take to send a head or a body.
     pub head_time: Span,
-    /// Longest time a connection may rest.
+    /// Longest time that a connection may be idle.
     pub idle_time: Span,
 }
 
@@ -112,18 +116,19 @@
     }
 }
 
-/// One version of the configuration, indexed.
+/// One version of the configuration, with its indexes.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Config {
-    /// Its version; later ones are higher.
+    /// Number of the version; later ones are higher.
     pub version: u64,
-    /// Bounds on what callers send.
+    /// Limits on the requests of callers.
     pub limits: Limits,
     routes: BTreeMap<String, BTreeMap<String, Arc<Route>>>,
     services: BTreeMap<String, Service>,
     organisations: BTreeMap<Arc<str>, Organisation>,
     keys: BTreeMap<Bytes, Arc<str>>,
-    lowest: BTreeMap<String, u8>,
+    /// Lowest rank (the greatest number) of the routes to each service.
+    lowest_rank: BTreeMap<String, u8>,
 }
 
 impl Config {
@@ -132,33 +137,33 @@
         Config { version, limits, ..Config::default() }
     }
 
-    /// The configuration with one more route, in place of one of the same host and prefix.
+    /// Adds a route, or replaces the one with the same host and prefix.
     pub fn with_route(mut self, route: impl Into<Arc<Route>>) -> Config {
         let route = route.into();
-        self.rank(&route);
+        self.add_rank(&route);
         let routes = self.routes.entry(route.host.clone()).or_default();
         if routes.insert(route.prefix.clone(), route).is_some() {
-            // The one that was replaced may have been the only one of its rank.
-            self.lowest.clear();
-            self.routes().iter().for_each(|route| self.rank(route));
+            // The replaced route may have been the only one of its rank.
+            self.lowest_rank.clear();
+            self.routes().iter().for_each(|route| self.add_rank(route));
         }
         self
     }
 
-    fn rank(&mut self, route: &Route) {
+    fn add_rank(&mut self, route: &Route) {
         for target in &route.targets {
-            let lowest = self.lowest.entry(target.service.clone()).or_default();
-            *lowest = route.priority.max(*lowest);
+            let lowest_rank = self.lowest_rank.entry(target.service.clone()).or_default();
+            *lowest_rank = route.priority.max(*lowest_rank);
         }
     }
 
-    /// The configuration with one more service.
+    /// Adds a service.
     pub fn with_service(mut self, service: Service) -> Config {
         self.services.insert(service.name.clone(), service);
         self
     }
 
-    /// The configuration with one more organisation and its keys.
+    /// Adds an organisation with its keys.
     pub fn with_organisation(
         mut self,
         organisation: Organisation,
@@ -193,11 +198,11 @@
         self.organisations.values().map(account).collect()
     }
 
-    /// The route with the longest prefix of `path` under `host`.
+    /// The route under `host` with the longest prefix that `path` begins with.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let routes = self.routes.get(host)?;
-        let ends = path.char_indices().rev().filter(|(_, c)| *c == '/');
-        ends.map(|(at, _)| &path[..=at]).find_map(|prefix| routes.get(prefix))
+        let slashes = path.char_indices().rev().filter(|(_, c)| *c == '/');
+        slashes.map(|(at, _)| &path[..=at]).find_map(|prefix| routes.get(prefix))
     }
 
     /// Whether any route has this host.
@@ -205,10 +210,10 @@
         self.routes.contains_key(host)
     }
 
-    /// Whether no route to `service` ranks below `route`.
+    /// Whether no route to `service` has a lower rank than `route`.
     pub fn has_lowest_rank(&self, route: &Route, service: &str) -> bool {
-        let lowest = self.lowest.get(service).copied().unwrap_or(0);
-        route.priority >= lowest
+        let lowest_rank = self.lowest_rank.get(service).copied().unwrap_or(0);
+        route.priority >= lowest_rank
     }
 
     /// Number of routes.
@@ -221,7 +226,7 @@
         self.routes.is_empty()
     }
 
-    /// The organisation that holds a key.
+    /// The organisation that holds `key`.
     pub fn organisation(&self, key: &[u8]) -> Option<&Organisation> {
         self.organisations.get(self.keys.get(key)?)
     }
--- a/core/src/gateway/events.rs
+++ b/core/src/gateway/events.rs
@@ -1,93 +1,97 @@
-//! Splits a byte stream into whole server-sent events.
+//! Splits a byte stream into complete server-sent events.
 //!
-//! A replica can stop in the middle of an event. Only whole events are passed on, so that another
-//! replica can go on behind the last of them and the caller never sees a torn one.
+//! A replica may fail in the middle of an event. Only complete events are passed on, so that
+//! another replica can continue after the last one and the caller never receives a partial event.
 
 use bytes::Bytes;
 use bytes::BytesMut;
 
-/// Longest event that is waited for, in bytes.
-const LONGEST: usize = 1 << 20;
+/// Upper bound on the length of an event, in bytes.
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// Bytes of a stream that are not yet a whole event, and the id of the last whole one.
+/// Buffers the bytes of an incomplete event and keeps the id of the last complete one.
 #[derive(Debug, Default)]
 pub struct Splitter {
-    rest: BytesMut,
+    pending: BytesMut,
     last_id: Option<Bytes>,
     count: u64,
 }
 
 impl Splitter {
-    /// Takes bytes in and returns all events that are now whole.
+    /// Appends bytes and returns all events that are complete by them.
     ///
     /// # Errors
     ///
-    /// [`TooLong`] if an event has no end within a mebibyte.
+    /// [`TooLong`] if an event has no end within 1 MiB.
     pub fn push(&mut self, bytes: &[u8]) -> Result<Bytes, TooLong> {
-        let searched = self.rest.len().saturating_sub(3);
-        self.rest.extend_from_slice(bytes);
-        let Some(end) = last_end(&self.rest, searched) else {
-            return if self.rest.len() > LONGEST { Err(TooLong) } else { Ok(Bytes::new()) };
+        let searched = self.pending.len().saturating_sub(3);
+        self.pending.extend_from_slice(bytes);
+        let Some(end) = last_end(&self.pending, searched) else {
+            return if self.pending.len() > MAX_EVENT_BYTES {
+                Err(TooLong)
+            } else {
+                Ok(Bytes::new())
+            };
         };
-        let whole = self.rest.split_to(end).freeze();
-        self.note(&whole);
-        Ok(whole)
+        let events = self.pending.split_to(end).freeze();
+        self.record_ids(&events);
+        Ok(events)
     }
 
-    fn note(&mut self, whole: &Bytes) {
-        for line in whole.split(|b| *b == b'\n') {
+    fn record_ids(&mut self, events: &Bytes) {
+        for line in events.split(|b| *b == b'\n') {
             let line = line.strip_suffix(b"\r").unwrap_or(line);
             if let Some(id) = line.strip_prefix(b"id:") {
-                self.last_id = Some(whole.slice_ref(id.trim_ascii()));
+                self.last_id = Some(events.slice_ref(id.trim_ascii()));
                 self.count += 1;
             }
         }
     }
 
-    /// Id of the last whole event.
+    /// Id of the last complete event that has one.
     pub fn last_id(&self) -> Option<&Bytes> {
         self.last_id.as_ref()
     }
 
-    /// Events with an id that were whole.
+    /// Number of complete events that have an id.
     pub fn count(&self) -> u64 {
         self.count
     }
 
-    /// Bytes of an event that has no end yet.
+    /// Length of the incomplete event, in bytes.
     pub fn pending_len(&self) -> usize {
-        self.rest.len()
+        self.pending.len()
     }
 
-    /// Forgets a torn event, so that another replica's stream can go on.
+    /// Discards the incomplete event, so that the stream can continue from another replica.
     pub fn discard_pending(&mut self) {
-        self.rest.clear();
+        self.pending.clear();
     }
 }
 
-/// An event without an end.
+/// Error for an event that exceeds the upper bound on its length.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("an event is longer than {LONGEST} bytes")]
+#[error("an event is longer than {MAX_EVENT_BYTES} bytes")]
 pub struct TooLong;
 
-/// End of the last blank line, looking no further back than `from`.
+/// Index behind the last blank line in `bytes`, searched from index `from` on.
 fn last_end(bytes: &[u8], from: usize) -> Option<usize> {
     let mut end = None;
-    let mut at = from;
-    while at < bytes.len() {
-        let tail = &bytes[at..];
-        let blank = if tail.starts_with(b"\n\n") {
+    let mut index = from;
+    while index < bytes.len() {
+        let tail = &bytes[index..];
+        let blank_len = if tail.starts_with(b"\n\n") {
             2
         } else if tail.starts_with(b"\n\r\n") {
             3
         } else {
             0
         };
-        if blank > 0 {
-            end = Some(at + blank);
-            at += blank;
+        if blank_len > 0 {
+            end = Some(index + blank_len);
+            index += blank_len;
         } else {
-            at += 1;
+            index += 1;
         }
     }
     end
--- a/core/src/gateway/freshness.rs
+++ b/core/src/gateway/freshness.rs
@@ -1,48 +1,51 @@
-//! How old a gateway's proof is that its configuration is the newest.
+//! Age of the proof that a gateway's configuration is current.
 //!
-//! A revoked key may only be honoured for a bounded time, by every gateway, also one that is cut
-//! off. So a key counts only while the last sound read of the store is young enough. The age runs
-//! from when the read was *sent*: what the store had accepted before that moment is in the answer.
+//! Every gateway, also one that is partitioned, may accept a revoked key for a bounded time only.
+//! It therefore accepts keys only while its last valid read of the store is recent enough. The age
+//! counts from when the read was *sent*, because its result includes all writes that the store had
+//! accepted before.
 
 use crate::time::Span;
 use crate::time::Time;
 
-/// Taken off the bound: the clock's drift and the way from the last look at it to the replica.
+/// Margin below the bound, for the drift of the clock and the time from the check to the arrival of
+/// the call at a replica.
 const MARGIN: Span = Span::millis(500);
 
-/// Proof that a configuration is current, and how long it may be used.
+/// Newest proof that the configuration is current, with the upper bound on its age.
 #[derive(Clone, Copy, Debug)]
 pub struct Freshness {
-    bound: Option<Span>,
-    proved: Option<Time>,
+    max_age: Option<Span>,
+    proved_at: Option<Time>,
 }
 
 impl Freshness {
-    /// No proof yet; `bound` is the longest age of a proof, or `None` if any age will do.
-    pub fn new(bound: Option<Span>) -> Freshness {
-        Freshness { bound, proved: None }
+    /// A state without a proof. A proof is valid up to the age `max_age`, or forever if it is
+    /// `None`.
+    pub fn new(max_age: Option<Span>) -> Freshness {
+        Freshness { max_age, proved_at: None }
     }
 
-    /// Notes a sound read that was sent at `sent`.
+    /// Records a valid read that was sent at `sent`.
     pub fn record_proof(&mut self, sent: Time) {
-        self.proved = self.proved.max(Some(sent));
+        self.proved_at = self.proved_at.max(Some(sent));
     }
 
-    /// When the newest sound read was sent.
+    /// Time when the newest valid read was sent.
     pub fn proved_at(&self) -> Option<Time> {
-        self.proved
+        self.proved_at
     }
 
     /// Age of the newest proof.
     pub fn age(&self, now: Time) -> Option<Span> {
-        self.proved.map(|at| now.since(at))
+        self.proved_at.map(|at| now.since(at))
     }
 
-    /// Whether keys may be honoured at `now`.
+    /// Whether the proof is valid at `now`, so that keys may be accepted.
     pub fn is_current(&self, now: Time) -> bool {
-        match (self.bound, self.age(now)) {
+        match (self.max_age, self.age(now)) {
             (None, proof) => proof.is_some(),
-            (Some(bound), Some(age)) => age + MARGIN < bound,
+            (Some(max_age), Some(age)) => age + MARGIN < max_age,
             (Some(_), None) => false,
         }
     }
--- a/core/src/gateway/mod.rs
+++ b/core/src/gateway/mod.rs
@@ -1,8 +1,8 @@
-//! Decisions of a gateway: opaque calls and event streams, routed by host and path.
+//! Decisions of a gateway, which routes opaque calls and event streams by host and path.
 //!
-//! A gateway knows a [`config::Config`], the replicas of its services and its fellow gateways. It
-//! resolves a call to a route, chooses a replica, decides about retries, and says which gateways
-//! callers should use. Like the rest of the core it has no clock and no socket.
+//! A [`Gateway`] holds a [`config::Config`], the replicas of its services and its peers, the other
+//! gateways. It resolves calls to routes, chooses replicas, decides on retries, and selects the
+//! gateways that callers are sent to. Like the rest of the core it has no clock and no socket.
 
 pub mod autoscaler;
 pub mod budget;
--- a/core/src/gateway/outage.rs
+++ b/core/src/gateway/outage.rs
@@ -1,62 +1,63 @@
-//! Which entries that a list lacks may have lapsed in an outage of the store, although their
-//! holders live.
+//! Detects missing entries of live replicas, whose leases expired in an outage of the store.
 //!
-//! After an outage most entries are missing for a moment, and going by the list would empty the
-//! fleet. At any other time a missing entry belongs to a replica that has left, and calls that are
-//! still sent there are lost with it. A gateway can't tell an outage from a busy link or processor
-//! of its own, or from having been frozen, by the time that passed; the list itself can: leases
-//! lapse together, while replicas leave a few at a time.
+//! After an outage most entries are missing for a short time, and a gateway that followed the list
+//! would drop most of its replicas. At any other time a missing entry means that the replica has
+//! left, and calls that are still sent to it are lost. The time without a reply does not tell the
+//! two cases apart, because this gateway may itself have been paused or its link or processor busy.
+//! The list does: leases expire together, while replicas leave a few at a time.
 
 use crate::time::Span;
 use crate::time::Time;
 
-/// Leases may have lapsed if no answer came for this long: replicas renew theirs every 1.2 s or
-/// so, and the store removes them after three times that, counted from a renewal that lies before
-/// the outage.
-const OUTAGE: Span = Span::millis(2_500);
-/// How long missing entries are kept after an outage: replicas that live have written theirs again
+/// Time without a reply after which leases may have expired. Replicas renew them about every 1.2 s,
+/// and the store removes them after three times that, counted from the last renewal before the
+/// outage.
+const MIN_OUTAGE: Span = Span::millis(2_500);
+/// Time after an outage in which missing entries are retained. Live replicas write theirs again
 /// within about two seconds.
-const RETURN: Span = Span::millis(2_200);
+const RETENTION: Span = Span::millis(2_200);
 
-/// How much of what is in use a list lacks.
+/// Extent to which a list lacks entries of replicas in use.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Absence {
-    /// Of all services together more is missing, and was not before, than is listed.
+    /// Whether, over all services, more entries are newly missing than are listed.
     pub most_at_once: bool,
-    /// Of some service more is missing than listed.
+    /// Whether, for any one service, more entries are missing than are listed.
     pub most_of_a_service: bool,
 }
 
-/// What a gateway knows of the store's outages.
+/// Outages of the store as seen by this gateway.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Outage {
-    /// When the newest call that was answered was sent.
-    asked: Option<Time>,
-    /// When the first answer after an outage came, until all entries must be back.
-    returned: Option<Time>,
+    /// Time when the newest call with a reply was sent.
+    last_answered: Option<Time>,
+    /// Time of the first reply after an outage, until missing entries are no longer retained.
+    ended_at: Option<Time>,
 }
 
 impl Outage {
-    /// Notes a list that was asked for at `sent` and came at `now` and lacks entries of replicas in
-    /// use; returns whether these may have lapsed.
+    /// Records a list that was requested at `sent` and received at `now`; returns whether the
+    /// entries that it lacks may have expired in an outage.
     ///
-    /// The store may have hung until the answer came, so silence is counted up to `now`, and only
-    /// a list that was asked for after the return is complete. Where most of all entries are
-    /// missing no silence is needed: two short outages in a row have an answer in between. Where
-    /// few are, they are taken for gone; after a short outage that closes less than half of each
-    /// service until the next renewal, for a second or two.
+    /// The store may have hung until its reply, so the time without a reply ends at `now`, and only
+    /// a list that was requested after the outage is complete. If most entries of all services are
+    /// missing, no time without a reply is needed, because two short outages may have a reply
+    /// between them. If few entries are missing, their replicas are taken to have left. After a
+    /// short outage this closes less than half of each service for a second or two, until the next
+    /// renewal.
     pub fn record_list(&mut self, sent: Time, now: Time, absence: Absence) -> bool {
-        let silent = self.asked.is_some_and(|last| now.since(last) > OUTAGE);
+        let silent = self.last_answered.is_some_and(|last| now.since(last) > MIN_OUTAGE);
         if absence.most_at_once || (silent && absence.most_of_a_service) {
-            self.returned = Some(now);
+            self.ended_at = Some(now);
         }
         !self.record_reply(sent)
     }
 
-    /// Records an answer to a call that was sent at `sent`; returns whether what it lacks is gone.
+    /// Records a reply to a call that was sent at `sent`; returns whether replicas that are missing
+    /// from it have left.
     pub fn record_reply(&mut self, sent: Time) -> bool {
-        self.asked = self.asked.max(Some(sent));
-        self.returned = self.returned.filter(|at| sent < *at + RETURN);
-        self.returned.is_none()
+        self.last_answered = self.last_answered.max(Some(sent));
+        self.ended_at = self.ended_at.filter(|at| sent < *at + RETENTION);
+        self.ended_at.is_none()
     }
 }
--- a/core/src/gateway/position.rs
+++ b/core/src/gateway/position.rs
@@ -1,13 +1,13 @@
-//! Where a state of the store stands among all of its states.
+//! Order of the states of the store across rollbacks.
 
 use derive_more::Display;
 
-/// A revision of one life of the store. Revisions are given out again after a return to an older copy,
-/// so two are only compared with their eras, and the era counts first.
+/// Position of a state of the store. After a rollback the store assigns the same revisions again,
+/// so positions are ordered by era first and by revision within an era.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Display)]
 #[display("{era}.{revision}")]
 pub struct Position {
-    /// Rises by one with each return; 0 if the store states none.
+    /// Number of rollbacks of the store; 0 if the store reports none.
     pub era: u64,
     /// Revision within the era.
     pub revision: u64,
--- a/core/src/gateway/refusal.rs
+++ b/core/src/gateway/refusal.rs
@@ -1,10 +1,10 @@
-//! Why a gateway ends a call with an answer of its own.
+//! Refusals: answers by which the gateway itself ends a call, and their reasons.
 
 use derive_more::Display;
 
 use crate::time::Span;
 
-/// Why a call got no answer of a replica.
+/// Reason for which a call got no answer from a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Display)]
 #[display(rename_all = "snake_case")]
 pub enum Reason {
@@ -12,34 +12,35 @@
     NoConfiguration,
     /// The configuration was last proved current too long ago to honour a key.
     StaleConfiguration,
-    /// The gateway is leaving and may end before the call does.
+    /// The gateway is stopping and may end before the call does.
     Stopping,
     /// No route matches host and path.
     NoRoute,
     /// The key belongs to no organisation, or is missing.
     UnknownKey,
-    /// No replica of the service may get work.
+    /// No replica of the service is usable.
     NoReplica,
-    /// Every replica has more work than could be done in time.
+    /// Every replica is too loaded to answer in time.
     Overloaded,
-    /// Replicas ended one after the other while they ran what the call asks for.
+    /// The request is quarantined, because several replicas crashed while they ran it.
     Quarantined,
     /// A replica refused the call without running it.
     ReplicaRefused,
-    /// The call may have run and must not be repeated, or may not be repeated any more.
+    /// A replica failed, and the call is not retried: it may have run and must not run twice, or
+    /// too many attempts were made.
     ReplicaFailed,
-    /// The route's or the caller's time is over.
+    /// The route's timeout or the caller's patience has ended.
     TimedOut,
 }
 
-/// The gateway's own end of a call.
+/// A call's end by the gateway itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// Reason of the refusal.
     pub reason: Reason,
-    /// No replica has run the call, and none will.
+    /// Whether it is certain that no replica has run the call or will run it.
     pub not_run: bool,
-    /// When a new try is worth while.
+    /// Time after which the caller may retry.
     pub retry_after: Span,
 }
 
@@ -49,7 +50,7 @@
         Refusal { reason, not_run: true, retry_after }
     }
 
-    /// The end of a call that a replica may have run.
+    /// A refusal of a call that a replica may have run.
     pub fn unknown(reason: Reason) -> Refusal {
         Refusal { reason, not_run: false, retry_after: Span(0) }
     }
--- a/core/src/gateway/submission.rs
+++ b/core/src/gateway/submission.rs
@@ -1,39 +1,39 @@
-//! What a caller asks for, decoded from the head of its call.
+//! Calls as callers submit them, decoded from their heads.
 
 use bytes::Bytes;
 
 use crate::time::Span;
 
-/// One part of a prompt, in the order of the prompt.
+/// One part of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Part {
-    /// Identity of its text; equal parts have equal ids.
+    /// Id of the part's text; equal texts have equal ids.
     pub id: u64,
-    /// Its length in tokens.
+    /// Length in tokens.
     pub tokens: u32,
 }
 
-/// A call before it is routed.
+/// A submitted call that is not routed yet.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Submission {
-    /// The caller's id of this try.
+    /// Request id that the caller assigned to this try.
     pub id: Bytes,
-    /// Host that the caller named, without a port.
+    /// Host name from the request, without a port.
     pub host: String,
     /// Path without its query.
     pub path: String,
-    /// Bearer key, if the caller gave one.
+    /// Bearer key, if there is one.
     pub key: Option<Bytes>,
-    /// How long the caller waits, counted from its sending.
+    /// Time that the caller waits, from when it sends the call.
     pub patience: Option<Span>,
-    /// Parts of the prompt.
+    /// Parts of the prompt, in order.
     pub parts: Vec<Part>,
-    /// Most tokens the answer may have.
+    /// Upper bound on the tokens of the answer.
     pub max_output_tokens: u32,
 }
 
 impl Submission {
-    /// Tokens of the whole prompt.
+    /// Length of the whole prompt in tokens.
     pub fn prompt_tokens(&self) -> u32 {
         self.parts.iter().map(|p| p.tokens).fold(0, u32::saturating_add)
     }
--- a/core/src/gateway/wall.rs
+++ b/core/src/gateway/wall.rs
@@ -1,15 +1,15 @@
-//! Time of day that a jump of the own clock does not shift.
+//! Time of day that is not affected by a jump of this gateway's own clock.
 //!
-//! Gateways state their time of day in heartbeats. The median of what the peers and the own clock say,
-//! each as its distance from the own monotonic clock, is right as long as most clocks are, to within the
-//! delay of a heartbeat.
+//! Gateways send their time of day in heartbeats. Each is recorded as an offset from this gateway's
+//! monotonic clock. The median of the peers' offsets and the own one is correct, to within the
+//! delay of a heartbeat, as long as most clocks are.
 
 use std::collections::BTreeMap;
 
 use crate::time::Span;
 use crate::time::Time;
 
-/// Age beyond which a peer's time of day no longer counts.
+/// Age from which on a peer's time of day is ignored.
 const SAMPLE_VALID: Span = Span::secs(10);
 /// Upper bound on peers whose time of day is kept.
 const MAX_PEERS: usize = 64;
@@ -23,7 +23,7 @@
     at: Time,
 }
 
-/// Distance of the time of day from the own monotonic clock.
+/// Offset of the time of day from the monotonic clock.
 #[derive(Debug)]
 pub struct Wall {
     peers: BTreeMap<u32, Sample>,
@@ -31,19 +31,19 @@
 }
 
 impl Wall {
-    /// A clock that goes by the own time of day, `own` at `now`, until peers are known.
+    /// A clock that uses this gateway's own time of day, `own` at `now`, until peers are observed.
     pub fn new(now: Time, own: WallTime) -> Wall {
         Wall { peers: BTreeMap::new(), offset: offset(now, own) }
     }
 
-    /// Takes in the time of day that a peer stated in a message received at `now`.
+    /// Records the time of day in a peer's message that was received at `now`.
     pub fn observe(&mut self, now: Time, peer: u32, wall: WallTime) {
         if self.peers.len() < MAX_PEERS || self.peers.contains_key(&peer) {
             self.peers.insert(peer, Sample { offset: offset(now, wall), at: now });
         }
     }
 
-    /// Takes the median anew, while the own clock says `own`.
+    /// Computes the median again, with this gateway's own time of day `own` at `now`.
     pub fn refresh(&mut self, now: Time, own: WallTime) {
         self.peers.retain(|_, sample| now.since(sample.at) < SAMPLE_VALID);
         let mut offsets: Vec<i128> = self.peers.values().map(|sample| sample.offset).collect();
