--- a/core/src/gateway/fleet.rs
+++ b/core/src/gateway/fleet.rs
@@ -1,8 +1,9 @@
 //! The replicas of all services: membership, load, and choice of a replica for each call.
 //!
 //! [`Fleet::update`] applies a list of replicas, [`Fleet::choose`] selects one for a call, and the
-//! `record_` methods follow each attempt from its start to its end. A replica is known by its
-//! incarnation: what is reported of an earlier one never counts for its successor.
+//! `record_` methods follow each attempt from its start to its end. All state belongs to one
+//! incarnation of a replica: a report about an earlier incarnation never counts for the current
+//! one.
 
 mod choice;
 mod list;
@@ -145,8 +146,8 @@
         }
     }
 
-    /// Removes and returns the updates for the owners of engines. The caller adds this gateway's hash
-    /// to their call numbers.
+    /// Removes and returns the updates for the owners of engines. The caller adds this gateway's
+    /// hash to their call numbers.
     pub fn drain_updates(&mut self) -> Vec<Update> {
         std::mem::take(&mut self.updates)
     }
@@ -166,23 +167,27 @@
 
     /// Merges the loads observed by other gateways, as far as they are newer.
     pub fn receive(&mut self, now: Time, observations: &[Observation]) {
-        for s in observations {
+        for observation in observations {
             // Digests of earlier incarnations are not in the map, so their loads are ignored.
-            let key = self.by_digest.get(&s.replica).copied();
+            let key = self.by_digest.get(&observation.replica).copied();
             let Some(replica) = key.and_then(|key| self.replicas.get_mut(key)) else {
                 continue;
             };
-            let at = gossip::time_before(now, s.age_ms);
+            let at = gossip::time_before(now, observation.age_ms);
             if replica.report.is_none_or(|r| r.at < at) {
                 replica.last_seen = replica.last_seen.max(at);
-                replica.record_load(at, u32::from(s.running), u32::from(s.waiting));
+                replica.record_load(
+                    at,
+                    u32::from(observation.running),
+                    u32::from(observation.waiting),
+                );
             }
         }
     }
 
-    /// Loads to gossip, the youngest first.
+    /// Recent loads to gossip, the newest first.
     pub fn gossip(&self, now: Time) -> Vec<Observation> {
-        let mut young: Vec<Observation> = self
+        let mut recent: Vec<Observation> = self
             .replicas
             .iter()
             .filter_map(|(_, replica)| {
@@ -196,9 +201,9 @@
                 })
             })
             .collect();
-        young.sort_by_key(|s| s.age_ms);
-        young.truncate(gossip::MAX_ENTRIES);
-        young
+        recent.sort_by_key(|observation| observation.age_ms);
+        recent.truncate(gossip::MAX_ENTRIES);
+        recent
     }
 
     /// Number of this gateway's streams in progress that the prefill of long prompts would delay.
--- a/core/src/gateway/fleet/list.rs
+++ b/core/src/gateway/fleet/list.rs
@@ -95,7 +95,7 @@
         Changes { added, replaced, closed, retained: Vec::new() }
     }
 
-    /// Whether an entry is of the known incarnation, service and address.
+    /// Whether an entry has the known incarnation, service and address of the replica.
     ///
     /// Incarnations are compared for equality and not for their order, because the list is the
     /// newest information: if a clock was set back, an order would favour the earlier incarnation.
@@ -117,22 +117,22 @@
         !std::mem::replace(&mut replica.closed, true)
     }
 
-    /// Compares the number of replicas in use that `listings` lacks with the number listed, for
-    /// each service and in all. A replica with an unreadable entry counts as listed.
+    /// Compares the number of replicas in use that `listings` lacks with the number of those
+    /// listed, for each service and in total. A replica with an unreadable entry counts as listed.
     pub fn absence(&self, listings: &[Listing]) -> Absence {
         let listed: BTreeSet<&str> = listings.iter().map(|l| l.incarnation.id.as_str()).collect();
         let mut services: BTreeMap<&str, (usize, usize)> = BTreeMap::new();
         for listing in listings {
             services.entry(self.service_of(listing)).or_default().0 += 1;
         }
-        let mut newly = 0;
+        let mut newly_missing = 0;
         let in_use = self.replicas.iter().map(|(_, r)| r).filter(|r| !r.closed);
         for replica in in_use.filter(|r| !listed.contains(r.listing.incarnation.id.as_str())) {
             services.entry(&replica.listing.service).or_default().1 += 1;
-            newly += usize::from(!replica.retained);
+            newly_missing += usize::from(!replica.retained);
         }
         Absence {
-            most_at_once: newly > listings.len(),
+            most_at_once: newly_missing > listings.len(),
             most_of_a_service: services.values().any(|(listed, missing)| missing > listed),
         }
     }
--- a/core/src/gateway/fleet/reconcile.rs
+++ b/core/src/gateway/fleet/reconcile.rs
@@ -10,8 +10,8 @@
 use crate::time::Span;
 use crate::time::Time;
 
-/// How long a removed incarnation is remembered; longer than the age of any copy that the store may
-/// return to.
+/// Time for which a removed incarnation is remembered; longer than the age of any copy that the
+/// store may return to.
 const REMOVED_LIFETIME: Span = Span::secs(60);
 
 impl Fleet {
@@ -37,6 +37,7 @@
         reconciled
     }
 
+    /// Corrects one entry by newer knowledge of its replica.
     fn reconcile_one(&self, listing: Listing) -> Listing {
         let key = self.by_id.get(&listing.incarnation.id).copied();
         let known = key.and_then(|key| self.replicas.get(key));
--- a/core/src/gateway/fleet/replica.rs
+++ b/core/src/gateway/fleet/replica.rs
@@ -104,6 +104,7 @@
     /// Whether the replica is in use although its entry is missing, which may have expired in an
     /// outage of the store.
     pub(super) retained: bool,
+    /// Hash of the incarnation, by which all gateways order the replicas of a service alike.
     pub(super) hash: u64,
     /// This gateway's streams in progress that the prefill of long prompts would delay.
     pub(super) sensitive_streams: u32,
@@ -118,6 +119,7 @@
     pub(super) silence_start: Time,
     /// Time at which the replica last sent data to any gateway.
     pub(super) last_seen: Time,
+    /// End of the backoff after a failed connection.
     pub(super) backoff_until: Time,
     /// Backoff after the next failed connection.
     pub(super) backoff: Span,
@@ -161,10 +163,12 @@
         (self.silence_start + bound).since(now)
     }
 
+    /// Whether the replica has calls in progress and has been silent for too long.
     pub(super) fn is_silent(&self, now: Time) -> bool {
         self.own_calls > 0 && self.time_until_silent(now).0 == 0
     }
 
+    /// Whether the replica may get new calls.
     pub(super) fn is_usable(&self, now: Time) -> bool {
         !self.closed && now >= self.backoff_until && !self.is_silent(now)
     }
@@ -174,6 +178,7 @@
         Digest(self.hash as u32)
     }
 
+    /// Records the load of the replica at time `at`.
     pub(super) fn record_load(&mut self, at: Time, running: u32, waiting: u32) {
         // As integers, the sum of an absurd report would overflow.
         let total = f64::from(running) + f64::from(waiting);
--- a/core/src/gateway/model.rs
+++ b/core/src/gateway/model.rs
@@ -1,6 +1,7 @@
 //! This gateway's own observations of the engines of one service.
 //!
-//! They decide about the isolated pool only while the gateway has no plan for the service.
+//! The isolated pool follows them only while the gateway has no plan for the service. The prefill
+//! estimator also includes the estimates of peers.
 
 use std::collections::BTreeMap;
 
--- a/core/src/gateway/occupancy.rs
+++ b/core/src/gateway/occupancy.rs
@@ -68,7 +68,8 @@
     /// milliseconds.
     #[serde(rename = "unread_ms")]
     pub pending_prefill_ms: f32,
-    /// Moving average of the time between two ends of calls, in milliseconds.
+    /// Moving average of the time between two ends of calls, in milliseconds: the time until a slot
+    /// of a full engine is free.
     pub interval_ms: f32,
 }
 
@@ -161,6 +162,7 @@
 }
 
 impl Engine {
+    /// Records the end of a call; does nothing if the call is unknown.
     fn end(&mut self, now: Time, call: u64) {
         if self.entries.remove(&call).is_none() {
             return;
--- a/core/src/gateway/pool.rs
+++ b/core/src/gateway/pool.rs
@@ -16,12 +16,12 @@
 /// bursts, the share of long-prompt calls that were on time was 2 to 12 percentage points higher
 /// than at 0.8.
 const SLOT_FILL: f64 = 0.9;
-/// Share of its time that an engine of the pool spends on prefill. An engine that prefills all the
-/// time does so in each step, and its streams are as late as outside of the pool.
+/// Share of its time that an engine of the pool may spend on prefill. An engine that prefills all
+/// the time does so in each step, and its streams are as late as outside of the pool.
 const PREFILL_SHARE: f64 = 0.45;
-/// Upper bound on this share when all engines prefill for longer than that. Engines of the pool
-/// then prefill as much as the others, but above this bound their streams would queue as long
-/// prompts do.
+/// Upper bound on that share in an overload, when all engines prefill for most of their time. The
+/// engines of the pool then prefill as much as the others, up to this bound; above it, their
+/// streams would queue as long prompts do.
 const MAX_PREFILL_SHARE: f64 = 0.75;
 /// Weight that the sums keep when one more call ends; about the last two hundred calls count.
 const DECAY: f64 = 0.995;
--- a/core/src/gateway/tally.rs
+++ b/core/src/gateway/tally.rs
@@ -90,8 +90,8 @@
         stream.begun = stream.begun.saturating_add(1);
     }
 
-    /// Counts a further event; `gap` is the time since the last one if the engine may have
-    /// prefilled long prompts meanwhile.
+    /// Counts a further event, and the gap before it, which is `None` for a stream in the isolated
+    /// pool.
     pub fn record_event(&mut self, pause: Span, gap: Option<Span>) {
         let stream = self.stream(pause);
         stream.events = stream.events.saturating_add(1);
@@ -111,8 +111,8 @@
         }
     }
 
-    /// The sums to report for `service`, and resets the counters; `None` if there is nothing to
-    /// report.
+    /// Returns the sums to report for `service` and resets the counters; `None` if there is nothing
+    /// to report.
     pub fn take(&mut self, service: u32) -> Option<Sums> {
         let open: u32 = self.streams.values().map(|s| u32::from(s.open)).sum();
         // The end of the last stream must be reported too.
