--- a/core/tests/gateway/agreement.rs
+++ b/core/tests/gateway/agreement.rs
@@ -22,11 +22,11 @@
 use rand::rngs::SmallRng;
 
 use crate::support::START;
-use crate::support::ask;
 use crate::support::config;
 use crate::support::entry;
 use crate::support::listings;
 use crate::support::settings;
+use crate::support::submission;
 
 /// Time between two looks at all gateways.
 const STEP: Span = Span::millis(50);
@@ -176,7 +176,7 @@
         let at = self.rng.random_range(0..self.gateways.len());
         let gateway = &mut self.gateways[at];
         let route = if chat { "chat" } else { "report" };
-        let call = ask(route, &[(self.number % 40, 600), (1_000 + self.number, 500)]);
+        let call = submission(route, &[(self.number % 40, 600), (1_000 + self.number, 500)]);
         let Ok(mut grant) = gateway.admit(self.now, &call) else {
             return;
         };
--- a/core/tests/gateway/fleet.rs
+++ b/core/tests/gateway/fleet.rs
@@ -9,15 +9,15 @@
 use laburnumwheel_core::time::Time;
 
 use crate::support::START;
-use crate::support::ask;
 use crate::support::entry;
 use crate::support::gateway;
 use crate::support::listing;
 use crate::support::listings;
+use crate::support::submission;
 
 /// Id of the replica that a call would go to.
 fn chosen(gateway: &mut Gateway, now: Time) -> Option<String> {
-    let call = ask("report", &[]);
+    let call = submission("report", &[]);
     let mut grant = gateway.admit(now, &call).ok()?;
     gateway.pick(now, &call, &mut grant, &[]).ok().map(|pick| pick.id)
 }
@@ -191,7 +191,7 @@
 #[test]
 fn a_replica_replaced_at_its_address_gets_no_more_calls() {
     let mut gateway = gateway(2);
-    let call = ask("report", &[]);
+    let call = submission("report", &[]);
     let mut grant = gateway.admit(START, &call).unwrap();
     let mut pick = gateway.pick(START, &call, &mut grant, &[]).unwrap();
     gateway.record_sent(START, &call, &mut grant, &mut pick);
@@ -207,7 +207,7 @@
 #[test]
 fn an_unreachable_replica_is_in_backoff() {
     let mut gateway = gateway(2);
-    let call = ask("report", &[]);
+    let call = submission("report", &[]);
     let mut grant = gateway.admit(START, &call).unwrap();
     let first = gateway.pick(START, &call, &mut grant, &[]).unwrap();
     gateway.record_unsent(START, &mut grant, first.claim.replica, Outcome::Unreachable);
@@ -222,7 +222,7 @@
 #[test]
 fn without_a_replica_a_call_is_refused_with_a_time_to_retry() {
     let mut gateway = gateway(0);
-    let call = ask("report", &[]);
+    let call = submission("report", &[]);
     let mut grant = gateway.admit(START, &call).unwrap();
 
     let refusal = gateway.pick(START, &call, &mut grant, &[]).unwrap_err();
--- a/core/tests/gateway/freshness.rs
+++ b/core/tests/gateway/freshness.rs
@@ -4,15 +4,15 @@
 use laburnumwheel_core::time::Span;
 
 use crate::support::START;
-use crate::support::ask;
 use crate::support::gateway;
+use crate::support::submission;
 
 /// A gateway is cut off from the store, and an operator takes a key away. The gateway can't hear
 /// of it; it must stop to honour keys before the bound has passed since its last sound read.
 #[test]
 fn a_gateway_that_is_cut_off_stops_to_honour_keys() {
     let mut gateway = gateway(3);
-    let call = ask("report", &[]);
+    let call = submission("report", &[]);
 
     let young = gateway.admit(START + Span::millis(4_400), &call);
     let old = gateway.admit(START + Span::millis(4_600), &call).unwrap_err();
@@ -27,7 +27,7 @@
 #[test]
 fn the_proof_is_looked_at_again_before_a_call_leaves() {
     let mut gateway = gateway(3);
-    let call = ask("report", &[]);
+    let call = submission("report", &[]);
     let mut grant = gateway.admit(START + Span::secs(4), &call).unwrap();
 
     let refusal = gateway.recheck(START + Span::secs(5), &call, &mut grant).unwrap_err();
@@ -47,8 +47,8 @@
     gateway.confirm_view(asked - Span::secs(2));
 
     assert_eq!(gateway.proved_at(), Some(START + Span::secs(2)));
-    assert!(gateway.admit(START + Span::millis(6_400), &ask("report", &[])).is_ok());
-    assert!(gateway.admit(START + Span::millis(6_600), &ask("report", &[])).is_err());
+    assert!(gateway.admit(START + Span::millis(6_400), &submission("report", &[])).is_ok());
+    assert!(gateway.admit(START + Span::millis(6_600), &submission("report", &[])).is_err());
 }
 
 /// A route is added while a gateway is cut off. It knows no such route, but neither does it know
@@ -56,7 +56,7 @@
 #[test]
 fn a_gateway_that_is_cut_off_does_not_deny_a_route() {
     let mut gateway = gateway(3);
-    let call = ask("added-since", &[]);
+    let call = submission("added-since", &[]);
 
     let young = gateway.admit(START + Span::secs(1), &call).unwrap_err();
     let old = gateway.admit(START + Span::secs(6), &call).unwrap_err();
--- a/core/tests/gateway/loads.rs
+++ b/core/tests/gateway/loads.rs
@@ -22,9 +22,9 @@
 use laburnumwheel_core::time::Time;
 
 use crate::support::START;
-use crate::support::ask;
 use crate::support::entry;
 use crate::support::gateway;
+use crate::support::submission;
 
 const ENGINES: usize = 30;
 
@@ -35,7 +35,7 @@
     route: &str,
     parts: &[(u64, u32)],
 ) -> Result<Pick, Refusal> {
-    let call = ask(route, parts);
+    let call = submission(route, parts);
     let mut grant = gateway.admit(now, &call)?;
     let mut pick = gateway.pick(now, &call, &mut grant, &[])?;
     gateway.record_sent(now, &call, &mut grant, &mut pick);
@@ -72,7 +72,7 @@
 /// An engine of the chats' isolated pool, and one outside of it.
 fn pool_and_other(gateway: &mut Gateway) -> (String, String) {
     let mut pick = |route: &str| {
-        let call = ask(route, &[(1, 500)]);
+        let call = submission(route, &[(1, 500)]);
         let mut grant = gateway.admit(START, &call).unwrap();
         gateway.pick(START, &call, &mut grant, &[]).unwrap().id
     };
@@ -216,7 +216,7 @@
 #[test]
 fn a_call_that_was_sent_is_not_refused_for_load() {
     let mut gateway = gateway(ENGINES);
-    let call = ask("report", &report(1, 1));
+    let call = submission("report", &report(1, 1));
     let mut grant = gateway.admit(START, &call).unwrap();
     let mut pick = gateway.pick(START, &call, &mut grant, &[]).unwrap();
     gateway.record_sent(START, &call, &mut grant, &mut pick);
@@ -265,7 +265,7 @@
     let demand = demand_of_chats(60);
     gateway.receive(START, &heartbeat(vec![demand], Vec::new()));
     let (in_pool, outside) = pool_and_other(&mut gateway);
-    let call = ask("draft", &[(9_000, 1_800)]);
+    let call = submission("draft", &[(9_000, 1_800)]);
     let mut grant = gateway.admit(START, &call).unwrap();
     let full = snapshot(&outside, 20, 200.0);
     let free = snapshot(&in_pool, 6, 0.0);
@@ -283,7 +283,7 @@
     gateway.receive(START, &heartbeat(vec![demand_of_chats(60)], Vec::new()));
     let (in_pool, outside) = pool_and_other(&mut gateway);
     let mut pick = |calls_in_pool: u16| {
-        let call = ask("chat", &chat(1));
+        let call = submission("chat", &chat(1));
         let mut grant = gateway.admit(START, &call).unwrap();
         let pooled = snapshot(&in_pool, calls_in_pool, 0.0);
         let other = snapshot(&outside, 6, 100.0);
@@ -302,7 +302,7 @@
 fn a_chat_queries_one_engine_outside_the_pool() {
     let mut gateway = gateway(ENGINES);
     gateway.receive(START, &heartbeat(vec![demand_of_chats(60)], Vec::new()));
-    let call = ask("chat", &chat(1));
+    let call = submission("chat", &chat(1));
     let grant = gateway.admit(START, &call).unwrap();
 
     let asked = gateway.queries(START, &call, &grant);
@@ -318,7 +318,7 @@
     let mut gateway = gateway(ENGINES);
     gateway.receive(START, &heartbeat(vec![demand_of_chats(60)], Vec::new()));
     let (in_pool, outside) = pool_and_other(&mut gateway);
-    let call = ask("draft", &[(9_000, 1_800)]);
+    let call = submission("draft", &[(9_000, 1_800)]);
     let mut grant = gateway.admit(START, &call).unwrap();
     let asked = [snapshot(&outside, 12, 60.0), snapshot(&in_pool, 1, 0.0)];
 
--- a/core/tests/gateway/occupancy.rs
+++ b/core/tests/gateway/occupancy.rs
@@ -22,9 +22,9 @@
 use laburnumwheel_core::time::Span;
 
 use crate::support::START;
-use crate::support::ask;
 use crate::support::entry;
 use crate::support::gateway;
+use crate::support::submission;
 
 const ENGINE: Digest = Digest(7);
 /// Time after which the snapshot of a new owner is complete.
@@ -40,7 +40,7 @@
 
 /// The same snapshot from the owners of all engines that are queried for a report.
 fn snapshots(gateway: &mut Gateway, calls: u16, pending_prefill_ms: f32) -> Vec<Snapshot> {
-    let call = ask("report", &report(1));
+    let call = submission("report", &report(1));
     let grant = gateway.admit(START, &call).unwrap();
     let queried = gateway.queries(START, &call, &grant);
     let engines = queried.into_values().flatten();
@@ -50,7 +50,7 @@
 }
 
 fn pick(gateway: &mut Gateway, snapshots: &[Snapshot]) -> Result<Pick, Refusal> {
-    let call = ask("report", &report(1));
+    let call = submission("report", &report(1));
     let mut grant = gateway.admit(START, &call).unwrap();
     gateway.pick(START, &call, &mut grant, snapshots)
 }
@@ -183,7 +183,7 @@
 #[test]
 fn a_chat_goes_to_an_engine_of_its_pool_with_free_slots() {
     let mut gateway = gateway(10);
-    let call = ask("chat", &[(2, 103), (500, 69), (2_000_000, 543)]);
+    let call = submission("chat", &[(2, 103), (500, 69), (2_000_000, 543)]);
     let mut grant = gateway.admit(START, &call).unwrap();
     let queried = gateway.queries(START, &call, &grant).into_values().flatten();
     let snapshot = |(i, engine)| {
@@ -206,13 +206,13 @@
 
     let owners: BTreeSet<Option<String>> = (0..40)
         .flat_map(|subject| {
-            let call = ask("report", &report(subject));
+            let call = submission("report", &report(subject));
             let grant = gateway.admit(START, &call).unwrap();
             gateway.queries(START, &call, &grant).into_keys()
         })
         .collect();
     let later = START + Span::secs(5);
-    let call = ask("report", &report(1));
+    let call = submission("report", &report(1));
     let grant = gateway.admit(START, &call).unwrap();
     let alone = gateway.queries(later, &call, &grant);
 
@@ -225,7 +225,7 @@
 fn changes_of_a_call_are_reported_once_and_in_order() {
     let mut gateway = gateway(10);
     add_gateways(&mut gateway, &["two", "three", "four"]);
-    let call = ask("report", &report(1));
+    let call = submission("report", &report(1));
     let mut grant = gateway.admit(START, &call).unwrap();
     let mut pick = gateway.pick(START, &call, &mut grant, &[]).unwrap();
 
--- a/core/tests/gateway/quarantine.rs
+++ b/core/tests/gateway/quarantine.rs
@@ -29,8 +29,8 @@
 use rand::rngs::SmallRng;
 
 use crate::support::START;
-use crate::support::ask;
 use crate::support::gateway;
+use crate::support::submission;
 
 const CRASHING: Fingerprint = Fingerprint(1);
 const HARMLESS: Fingerprint = Fingerprint(2);
@@ -318,7 +318,7 @@
 #[test]
 fn a_quarantined_call_is_refused_as_not_run_with_a_retry_time() {
     let mut gateway = gateway(12);
-    let call = ask("draft", &[(1, 500)]);
+    let call = submission("draft", &[(1, 500)]);
     let engines = crash_engines(&mut gateway, &call, CRASHING);
 
     gateway.confirm_view(at(20));
@@ -336,7 +336,7 @@
 #[test]
 fn broken_connections_to_live_engines_do_not_quarantine() {
     let mut gateway = gateway(12);
-    let call = ask("draft", &[(1, 500)]);
+    let call = submission("draft", &[(1, 500)]);
     let mut claims = Vec::new();
     while claims.len() < CRASH_THRESHOLD {
         let (grant, claim) = send(&mut gateway, START, &call, HARMLESS).unwrap();
@@ -362,7 +362,7 @@
 #[test]
 fn stored_records_quarantine_after_a_restart_until_an_answer() {
     let mut before = gateway(12);
-    let call = ask("draft", &[(1, 500)]);
+    let call = submission("draft", &[(1, 500)]);
     crash_engines(&mut before, &call, CRASHING);
     let stored = before.quarantine_to_store(at(20), &[]).unwrap();
 
@@ -387,7 +387,7 @@
 #[test]
 fn gateways_that_differ_do_not_overwrite_each_other() {
     let mut first = gateway(12);
-    let call = ask("draft", &[(1, 500)]);
+    let call = submission("draft", &[(1, 500)]);
     crash_engines(&mut first, &call, CRASHING);
     let stored = first.quarantine_to_store(at(20), &[]).unwrap();
 
--- a/core/tests/gateway/restart.rs
+++ b/core/tests/gateway/restart.rs
@@ -16,10 +16,10 @@
 use laburnumwheel_core::time::Time;
 
 use crate::support::START;
-use crate::support::ask;
 use crate::support::entry;
 use crate::support::gateway;
 use crate::support::listing;
+use crate::support::submission;
 
 const ID: &str = "engine-0";
 /// Start of the first life, in Unix milliseconds, and of the one after it.
@@ -48,7 +48,7 @@
 }
 
 fn pick(gateway: &mut Gateway, now: Time) -> (Grant, Pick) {
-    let call = ask("report", &PARTS);
+    let call = submission("report", &PARTS);
     let mut grant = gateway.admit(now, &call).unwrap();
     let picked = gateway.pick(now, &call, &mut grant, &[]).ok();
     // Refused for load or not, it says what the engine was taken to have.
@@ -57,7 +57,7 @@
 }
 
 fn send(gateway: &mut Gateway, now: Time) -> Pick {
-    let call = ask("report", &PARTS);
+    let call = submission("report", &PARTS);
     let (mut grant, mut pick) = pick(gateway, now);
     gateway.record_sent(now, &call, &mut grant, &mut pick);
     pick
--- a/core/tests/gateway/routes.rs
+++ b/core/tests/gateway/routes.rs
@@ -7,11 +7,11 @@
 use laburnumwheel_core::time::Span;
 
 use crate::support::START;
-use crate::support::ask;
 use crate::support::config;
 use crate::support::gateway;
 use crate::support::route;
 use crate::support::settings;
+use crate::support::submission;
 
 #[test]
 fn the_longest_prefix_wins() {
@@ -35,7 +35,7 @@
 fn without_a_configuration_a_call_is_sent_away_for_a_moment() {
     let mut gateway = Gateway::new(settings("one"), START);
 
-    let refusal = gateway.admit(START, &ask("report", &[])).unwrap_err();
+    let refusal = gateway.admit(START, &submission("report", &[])).unwrap_err();
 
     assert_eq!(refusal.reason, Reason::NoConfiguration);
     assert!(refusal.not_run);
@@ -45,11 +45,11 @@
 #[test]
 fn an_unknown_key_is_refused_and_a_known_one_names_its_organisation() {
     let mut gateway = gateway(3);
-    let mut unknown = ask("report", &[]);
+    let mut unknown = submission("report", &[]);
     unknown.key = Some(bytes::Bytes::from_static(b"other"));
 
     let refused = gateway.admit(START, &unknown).unwrap_err();
-    let grant = gateway.admit(START, &ask("report", &[])).unwrap();
+    let grant = gateway.admit(START, &submission("report", &[])).unwrap();
 
     assert_eq!(refused.reason, Reason::UnknownKey);
     assert_eq!(grant.organisation.as_deref(), Some("museum"));
@@ -75,7 +75,7 @@
 #[test]
 fn a_call_that_waited_follows_the_configuration_in_force() {
     let mut gateway = gateway(3);
-    let call = ask("report", &[]);
+    let call = submission("report", &[]);
     let mut grant = gateway.admit(START, &call).unwrap();
     let mut moved = route("report");
     moved.targets[0].service = "others".to_owned();
--- a/core/tests/gateway/stop.rs
+++ b/core/tests/gateway/stop.rs
@@ -5,8 +5,8 @@
 use laburnumwheel_core::time::Span;
 
 use crate::support::START;
-use crate::support::ask;
 use crate::support::gateway;
+use crate::support::submission;
 
 const LEARNED: Span = Span::millis(2_700);
 const GRACE: Span = Span::millis(7_400);
@@ -20,7 +20,7 @@
     gateway.stop(START, LEARNED, GRACE);
     let late = START + Span::millis(3_500);
 
-    let refusal = gateway.admit(late, &ask("chat", &[(1, 500)])).unwrap_err();
+    let refusal = gateway.admit(late, &submission("chat", &[(1, 500)])).unwrap_err();
 
     assert_eq!(refusal.reason, Reason::Stopping);
     assert!(refusal.not_run);
@@ -32,7 +32,7 @@
     let mut gateway = gateway(2);
     gateway.stop(START, LEARNED, GRACE);
 
-    let grant = gateway.admit(START + Span::millis(2_600), &ask("chat", &[(1, 500)]));
+    let grant = gateway.admit(START + Span::millis(2_600), &submission("chat", &[(1, 500)]));
 
     assert!(grant.is_ok());
 }
@@ -42,7 +42,7 @@
     let mut gateway = gateway(2);
     gateway.stop(START, LEARNED, GRACE);
 
-    let grant = gateway.admit(START + Span::millis(3_500), &ask("draft", &[(1, 500)]));
+    let grant = gateway.admit(START + Span::millis(3_500), &submission("draft", &[(1, 500)]));
 
     assert!(grant.is_ok());
 }
@@ -53,7 +53,7 @@
 fn a_long_call_that_was_admitted_early_does_not_begin_late_in_a_stop() {
     let mut gateway = gateway(2);
     gateway.stop(START, LEARNED, GRACE);
-    let chat = Submission { patience: Some(Span::secs(15)), ..ask("chat", &[(1, 500)]) };
+    let chat = Submission { patience: Some(Span::secs(15)), ..submission("chat", &[(1, 500)]) };
     let grant = gateway.admit(START + Span::millis(2_600), &chat).unwrap();
 
     let soon = gateway.may_begin(START + LEARNED, &grant);
--- a/core/tests/gateway/strays.rs
+++ b/core/tests/gateway/strays.rs
@@ -17,8 +17,8 @@
 use proptest::proptest;
 
 use crate::support::START;
-use crate::support::ask;
 use crate::support::gateway;
+use crate::support::submission;
 
 fn engine(i: usize) -> Digest {
     Incarnation::without_start(&format!("engine-{i}")).digest()
@@ -26,7 +26,7 @@
 
 /// The engine that a chat goes to, with the expected time to its first event.
 fn chosen(gateway: &mut Gateway, snapshots: &[Snapshot]) -> Option<(String, f64)> {
-    let call = ask("chat", &[(1, 300), (2, 400)]);
+    let call = submission("chat", &[(1, 300), (2, 400)]);
     let mut grant = gateway.admit(START, &call).unwrap();
     let picked = gateway.pick(START, &call, &mut grant, snapshots).ok();
     picked.or(grant.last_pick).map(|pick| (pick.id, pick.claim.expected_ms))
@@ -42,7 +42,7 @@
     #[test]
     fn any_load_may_be_told(running: u32, waiting: u32, slots: u32) {
         let mut gateway = gateway(2);
-        let call = ask("chat", &[(1, 300)]);
+        let call = submission("chat", &[(1, 300)]);
         let mut grant = gateway.admit(START, &call).unwrap();
         let pick = gateway.pick(START, &call, &mut grant, &[]).unwrap();
 
--- a/core/tests/gateway/support.rs
+++ b/core/tests/gateway/support.rs
@@ -105,7 +105,7 @@
 }
 
 /// A call of a route whose prompt has these parts.
-pub fn ask(route: &str, parts: &[(u64, u32)]) -> Submission {
+pub fn submission(route: &str, parts: &[(u64, u32)]) -> Submission {
     Submission {
         id: Bytes::from_static(b"call-1"),
         host: HOST.to_owned(),
