--- a/gateway/src/era.rs
+++ b/gateway/src/era.rs
@@ -73,7 +73,7 @@
                 None
             }
         };
-        // Logged when it first appears, not for each response.
+        // Logged when it changes, not for each response.
         if oddity != self.0.last_oddity.replace(oddity) {
             self.0.unlogged.borrow_mut().extend(oddity);
         }
@@ -94,7 +94,7 @@
 /// Waits for changes to a later era.
 #[derive(Debug)]
 pub struct Watcher {
-    /// Era at the last change that was returned; the era may change between two calls of `next`.
+    /// Era that the last call of `next` saw; it may change before the next call.
     seen: Option<u64>,
     newest: watch::Receiver<Option<u64>>,
 }
--- a/gateway/tests/calls.rs
+++ b/gateway/tests/calls.rs
@@ -1,4 +1,4 @@
-//! Calls that are no streams, before replicas that fail in every way.
+//! Calls that are not streams, with replicas that fail in many ways.
 
 mod support;
 
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_call_reaches_a_replica_without_its_key_and_its_answer_comes_back_unchanged() {
+fn call_is_forwarded_without_its_key_and_response_is_unchanged() {
     run(async {
         let replica = Replica::start(write(response("200 OK", "answer"))).await;
         let running = gateway_with(&[&replica]).await;
@@ -53,10 +53,10 @@
     });
 }
 
-/// A replica runs a payment notice, and its answer is lost. Sent to another replica, the notice
-/// would go out twice; said not to have run, the caller would send it again.
+/// A replica runs a call that is not idempotent, and its response is lost. If the gateway repeated
+/// the call or told the caller that it had not run, the call would run twice.
 #[test]
-fn a_call_that_may_run_once_is_not_repeated_after_a_lost_answer() {
+fn non_idempotent_call_is_not_repeated_after_lost_response() {
     run(async {
         let lost = vec![Action::WriteAndClose(String::new())];
         let (a, b) = (Replica::start(lost.clone()).await, Replica::start(lost).await);
@@ -70,23 +70,23 @@
 }
 
 #[test]
-fn a_call_that_may_be_repeated_is_answered_by_another_replica() {
+fn idempotent_call_is_repeated_at_another_replica() {
     run(async {
         let a = Replica::start(vec![Action::WriteAndClose(String::new())]).await;
         let b = Replica::start(write(response("200 OK", "b"))).await;
         let running = gateway_with(&[&a, &b]).await;
 
         for i in 0..6 {
-            let answer = call(&running, "/safe/x", &format!("call-{i}")).await;
-            assert_eq!(answer, (200, Ok("b".to_owned())));
+            let received = call(&running, "/safe/x", &format!("call-{i}")).await;
+            assert_eq!(received, (200, Ok("b".to_owned())));
         }
     });
 }
 
-/// A replica hands out the answer of another call, perhaps one that was given up. The caller must
-/// never get it, whatever its status says.
+/// A replica sends the response to another call, perhaps an abandoned one. The caller must never
+/// get it, whatever its status.
 #[test]
-fn an_answer_with_another_id_is_never_delivered() {
+fn response_with_another_id_is_never_delivered() {
     run(async {
         let foreign = response("200 OK", "somebody else's").replace("ID", "call-0");
         let replica = Replica::start(write(foreign)).await;
@@ -99,10 +99,10 @@
     });
 }
 
-/// A faulty replica answers twice. The second answer lies on the kept connection where the answer
-/// to the next call is expected.
+/// A faulty replica responds twice. The second response is read from the pooled connection when the
+/// response to the next call is expected.
 #[test]
-fn a_second_answer_is_not_taken_for_the_next_calls() {
+fn second_response_is_not_delivered_to_next_call() {
     run(async {
         let twice = response("200 OK", "first") + &response("200 OK", "again");
         let replica =
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn an_answer_without_the_replicas_proof_is_no_success() {
+fn success_without_the_replicas_proof_is_an_error() {
     run(async {
         let text = response("200 OK", "x").replace("x-laburnum-proof: p\r\n", "");
         let replica = Replica::start(write(text)).await;
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn a_short_answer_is_never_passed_on_as_whole() {
+fn truncated_response_is_never_forwarded_as_complete() {
     run(async {
         let short = response("200 OK", "whole answer").replace("whole answer", "half");
         let replica = Replica::start(vec![Action::WriteAndClose(short)]).await;
@@ -140,10 +140,10 @@
     });
 }
 
-/// Every replica is full and says that it did not run the call. That is the truth, so the caller
-/// hears it, with a time to come back.
+/// Every replica is full and states that it did not run the call. The caller gets a 503 with a time
+/// to retry after.
 #[test]
-fn a_refusal_of_replicas_is_passed_on_as_not_run() {
+fn refusal_by_replicas_is_reported_as_not_run() {
     run(async {
         let replica = Replica::start(write(refusal())).await;
         let running = gateway_with(&[&replica]).await;
@@ -155,16 +155,17 @@
     });
 }
 
-/// One replica may have run the call before the next refused it: "not run" would be a lie.
+/// One replica may have run the call before the next one refused it, so it must not be reported as
+/// not run.
 #[test]
-fn a_refusal_after_an_attempt_that_may_have_run_is_not_called_not_run() {
+fn refusal_after_an_attempt_that_may_have_run_is_not_reported_as_not_run() {
     run(async {
         let a =
             Replica::start(vec![Action::WriteAndClose(String::new()), Action::Write(refusal())]);
         let a = a.await;
         let b = Replica::start(vec![Action::WriteAndClose(String::new())]).await;
         let running = gateway_with(&[&a, &b]).await;
-        // Whichever is tried first loses the answer; a second attempt may find a refusal.
+        // The replica that is tried first loses the response; a second attempt may be refused.
         let (status, _) = call(&running, "/safe/x", "call-1").await;
 
         assert_eq!(status, 502);
@@ -172,7 +173,7 @@
 }
 
 #[test]
-fn a_replicas_own_failure_is_passed_on_with_its_proof() {
+fn error_response_of_a_replica_is_forwarded_with_its_proof() {
     run(async {
         let replica = Replica::start(write(response("500 Error", "broken"))).await;
         let running = gateway_with(&[&replica]).await;
@@ -184,10 +185,10 @@
     });
 }
 
-/// Another run of a replica has the address and refuses the call. It did not run, and goes to a
-/// replica that is there.
+/// Another incarnation of a replica has the address and refuses the call. The call did not run, so
+/// it is sent to another replica.
 #[test]
-fn a_call_goes_on_after_it_met_another_replica_at_the_address() {
+fn call_is_repeated_after_another_replica_at_the_address_refused_it() {
     run(async {
         let other = "HTTP/1.1 421 Misdirected\r\ncontent-length: 0\r\n\r\n".to_owned();
         let a = Replica::start(write(other)).await;
@@ -195,20 +196,20 @@
         let running = gateway_with(&[&a, &b]).await;
 
         for i in 0..4 {
-            let answer = call(&running, "/once/x", &format!("call-{i}")).await;
-            assert_eq!(answer, (200, Ok("b".to_owned())));
+            let received = call(&running, "/once/x", &format!("call-{i}")).await;
+            assert_eq!(received, (200, Ok("b".to_owned())));
         }
         assert!(a.received.borrow().len() <= 1);
     });
 }
 
 #[test]
-fn an_unreachable_replica_costs_no_attempt() {
+fn unreachable_replica_does_not_count_as_an_attempt() {
     run(async {
         let gone = Replica::start(vec![Action::Silent]).await;
         let b = Replica::start(write(response("200 OK", "b"))).await;
         let mut listed = view(&[&gone, &b]);
-        // Nothing listens there any more.
+        // Nothing listens on this address.
         let unused = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
         listed.replicas[0].address = unused.to_string();
         let running = gateway(&Rc::new(RefCell::new(Some(listed)))).await;
@@ -219,15 +220,16 @@
     });
 }
 
-/// A caller leaves while its call is at a replica. The work is for nobody; the replica must stop.
+/// A caller disconnects while a replica runs its call. The gateway must cancel the call at the
+/// replica.
 #[test]
-fn a_caller_that_leaves_ends_the_work_at_the_replica() {
+fn call_is_cancelled_at_the_replica_when_its_caller_disconnects() {
     run(async {
         let replica = Replica::start(vec![Action::Silent]).await;
         let running = gateway_with(&[&replica]).await;
         let mut channel = connect(&running).await;
-        let answer = channel.sender.send_request(request("/safe/x", "call-1"));
-        let waiting = tokio::task::spawn_local(answer);
+        let response = channel.sender.send_request(request("/safe/x", "call-1"));
+        let waiting = tokio::task::spawn_local(response);
         while replica.received.borrow().is_empty() {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
@@ -243,7 +245,7 @@
 }
 
 #[test]
-fn bad_input_gets_a_clear_error_and_reaches_no_replica() {
+fn malformed_call_gets_an_error_and_reaches_no_replica() {
     run(async {
         let replica = Replica::start(write(response("200 OK", ""))).await;
         let running = gateway_with(&[&replica]).await;
@@ -274,9 +276,9 @@
     });
 }
 
-/// A planned stop: the call in progress is finished, and the connection is closed after it.
+/// In a planned stop the call in progress is finished, and its connection is closed after it.
 #[test]
-fn a_stop_finishes_what_was_taken() {
+fn stop_finishes_calls_in_progress() {
     run(async {
         let replica = Replica::start(write(response("200 OK", "answer"))).await;
         let running = gateway_with(&[&replica]).await;
@@ -293,20 +295,20 @@
     });
 }
 
-/// The store is out at the start. Callers are sent away for a moment; then it is back, and all is
-/// served.
+/// The store is unreachable when the gateway starts. The gateway must serve calls as soon as the
+/// store is reachable.
 #[test]
-fn a_gateway_that_starts_in_an_outage_serves_when_the_store_is_back() {
+fn gateway_that_starts_during_an_outage_serves_when_the_store_is_back() {
     run(async {
         let replica = Replica::start(write(response("200 OK", "answer"))).await;
-        let held = Rc::new(RefCell::new(None));
-        let (h, seen) = (Rc::clone(&held), view(&[&replica]));
+        let contents = Rc::new(RefCell::new(None));
+        let (c, stored) = (Rc::clone(&contents), view(&[&replica]));
         tokio::task::spawn_local(async move {
             tokio::time::sleep(Duration::from_millis(300)).await;
-            *h.borrow_mut() = Some(seen);
+            *c.borrow_mut() = Some(stored);
         });
 
-        let running = gateway(&held).await;
+        let running = gateway(&contents).await;
 
         assert_eq!(call(&running, "/once/x", "call-1").await.0, 200);
     });
--- a/gateway/tests/decoders.rs
+++ b/gateway/tests/decoders.rs
@@ -1,4 +1,4 @@
-//! Whatever a peer or a replica sends: decoding it ends, and costs nothing else.
+//! Decoding of arbitrary and damaged data from peers and replicas.
 
 use bytes::Bytes;
 use hyper::HeaderMap;
@@ -74,8 +74,8 @@
     Delta::between(Base::default(), &Snapshot::new(view, None)).encode().unwrap()
 }
 
-/// Bytes with some of them changed, and cut.
-fn spoilt(mut bytes: Vec<u8>, changes: &[(usize, u8)], length: usize) -> Vec<u8> {
+/// Changes some of the bytes and truncates them to `length`.
+fn damage(mut bytes: Vec<u8>, changes: &[(usize, u8)], length: usize) -> Vec<u8> {
     for (at, byte) in changes {
         let at = at % bytes.len();
         bytes[at] = *byte;
@@ -86,18 +86,18 @@
 
 proptest! {
     #[test]
-    fn any_datagram_is_decoded_or_refused(bytes: Vec<u8>) {
+    fn any_datagram_is_decoded_or_rejected(bytes: Vec<u8>) {
         let _ = peers::decode(&bytes);
     }
 
-    /// A length that is stated and not sent is not allocated: a heartbeat of a hundred bytes never
-    /// decodes to more items than it has bytes.
+    /// A stated length must not be allocated before that many bytes have arrived: a heartbeat of a
+    /// hundred bytes never decodes to more items than it has bytes.
     #[test]
-    fn a_spoilt_heartbeat_takes_no_more_than_its_length(
+    fn damaged_heartbeat_decodes_to_no_more_than_its_length(
         changes in proptest::collection::vec((any::<usize>(), any::<u8>()), 0..6),
         length in 0usize..200,
     ) {
-        let bytes = spoilt(heartbeat(), &changes, length);
+        let bytes = damage(heartbeat(), &changes, length);
 
         if let Ok(Message::Heartbeat(heartbeat)) = peers::decode(&bytes) {
             prop_assert!(heartbeat.loads.len() + heartbeat.demands.len() <= bytes.len());
@@ -106,20 +106,20 @@
     }
 
     #[test]
-    fn a_spoilt_view_is_decoded_or_refused(
+    fn damaged_view_is_decoded_or_rejected(
         changes in proptest::collection::vec((any::<usize>(), any::<u8>()), 0..6),
         length in 0usize..300,
     ) {
-        let bytes = spoilt(view(), &changes, length);
+        let bytes = damage(view(), &changes, length);
 
         if let Ok(known) = Delta::decode(&bytes).and_then(|delta| delta.apply(None)) {
             prop_assert!(known.view.replicas.len() + known.view.gateways.len() <= bytes.len());
         }
     }
 
-    /// Every value of a header that HTTP lets through; the others are read all the same.
+    /// No value that HTTP allows in one header prevents the others from being parsed.
     #[test]
-    fn the_head_of_any_answer_is_read(
+    fn headers_of_any_response_are_parsed(
         names in proptest::collection::vec("[a-z-]{1,20}", 0..5),
         value in proptest::collection::vec(0x20u8..0x7f, 0..40),
     ) {
@@ -137,16 +137,16 @@
     }
 
     #[test]
-    fn a_connection_never_rests_longer_than_its_replica_states(seconds: u64) {
-        let rest = channel::idle_limit(Some(seconds));
+    fn idle_limit_never_exceeds_the_stated_keep_alive(seconds: u64) {
+        let limit = channel::idle_limit(Some(seconds));
 
-        prop_assert!(rest <= Span::secs(seconds));
+        prop_assert!(limit <= Span::secs(seconds));
     }
 }
 
-/// A replica states an absurd time for which it keeps connections, and the gateway's process ends
-/// in an overflow, with every call that it holds.
+/// A replica states an absurdly long keep-alive time. An overflow in the idle limit would crash the
+/// gateway with all calls in progress.
 #[test]
-fn the_longest_time_that_can_be_stated_is_no_longer_than_the_usual() {
+fn longest_keep_alive_gives_the_default_idle_limit() {
     assert_eq!(channel::idle_limit(Some(u64::MAX)), channel::idle_limit(None));
 }
--- a/gateway/tests/eras.rs
+++ b/gateway/tests/eras.rs
@@ -1,4 +1,4 @@
-//! What answers of the store state of its life.
+//! Eras that the store's responses state.
 
 mod support;
 
@@ -14,12 +14,13 @@
 use crate::support::run;
 use crate::support::wait_until;
 
-/// Time for which nothing must happen.
+/// Time to wait for an event that must not happen.
 const QUIET: Duration = Duration::from_millis(20);
 
-/// One connection still reaches the life before the return: what it says is of a state that is gone.
+/// After a return of the store to an older copy, one connection still reaches the former instance,
+/// whose responses describe a state that no longer exists.
 #[test]
-fn an_answer_of_an_earlier_era_is_none() {
+fn response_of_an_earlier_era_is_an_error() {
     let eras = Eras::default();
     eras.observe(Some(b"3")).unwrap();
     eras.observe(Some(b"4")).unwrap();
@@ -30,9 +31,9 @@
     assert_eq!(eras.newest(), Some(4));
 }
 
-/// Bytes that are no era cost the answer nothing.
+/// A response whose era is missing or malformed stays valid.
 #[test]
-fn a_missing_or_unreadable_era_counts_as_the_one_before() {
+fn missing_or_unreadable_era_counts_as_the_newest_one() {
     let eras = Eras::default();
     eras.observe(Some(b"3")).unwrap();
 
@@ -43,10 +44,10 @@
     assert_eq!(eras.newest(), Some(3));
 }
 
-/// The store comes back from a copy while a read of several answers is on its way: the first of them are
-/// of one life, the rest of the next. Taken for one state, it would be one that never was.
+/// The store returns to an older copy during a read of several responses. The first ones are of one
+/// era and the rest of the next, so together they describe a state that never existed.
 #[test]
-fn a_read_in_which_the_store_came_back_is_none() {
+fn read_across_a_change_of_era_is_discarded() {
     run(async {
         let read = |number: u32, eras: &Eras| {
             let era: &[u8] = if number == 1 { b"1" } else { b"2" };
@@ -63,7 +64,7 @@
 }
 
 #[test]
-fn a_rise_is_told_once_and_the_first_era_is_none() {
+fn change_of_era_is_reported_once_and_the_first_era_is_not_a_change() {
     run(async {
         let eras = Eras::default();
         let mut watcher = eras.watch();
--- a/gateway/tests/flaws.rs
+++ b/gateway/tests/flaws.rs
@@ -1,4 +1,4 @@
-//! Which flawed entries of the store are told, and when.
+//! Which malformed entries of the store are logged, and when.
 
 use laburnumwheel_gateway::flaw::Changes;
 use laburnumwheel_gateway::flaw::Flaw;
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn a_flaw_is_told_when_it_appears_changes_and_goes() {
+fn flaw_is_reported_when_it_appears_changes_and_ends() {
     let mut tracker = Tracker::default();
     let (cut, odd) = (flaw("a", Kind::Bytes), flaw("a", Kind::State));
 
@@ -26,10 +26,10 @@
     );
 }
 
-/// A writer gone wild leaves thousands of stray entries. Logged one by one at each read they fill
-/// the log, and what matters is dropped; remembered one by one they fill the memory.
+/// A faulty program writes thousands of malformed entries. Logging each of them at each read would
+/// crowd out important log lines, and tracking each of them would exhaust the memory.
 #[test]
-fn of_very_many_flaws_only_some_are_told_and_only_once() {
+fn of_very_many_flaws_only_some_are_reported_and_only_once() {
     let mut tracker = Tracker::default();
     let many: Vec<Flaw> = (0..5_000).map(|i| flaw(&format!("i-{i:04}"), Kind::Field)).collect();
 
--- a/gateway/tests/streams.rs
+++ b/gateway/tests/streams.rs
@@ -1,4 +1,4 @@
-//! Event streams that break off, go on elsewhere, or must not.
+//! Event streams that break off, and whether they are resumed at another replica.
 
 mod support;
 
@@ -25,19 +25,19 @@
     (from..=to).map(|i| format!("id: {i}\ndata: t{i}\n\n")).collect()
 }
 
-/// Two replicas of which the first that is asked breaks off, and the other goes on.
+/// Starts two replicas: `a` breaks off its first response, and both send events 3 to 5 otherwise.
 async fn breaking(first: &str) -> (Replica, Replica) {
     let script = |first: &str| {
         vec![Action::WriteAndClose(first.to_owned()), Action::Write(events(3, 5) + END)]
     };
-    // Either may be asked first; the second act of the other is reached through its first.
+    // Either replica may be tried first, and either may serve the resumed stream.
     let a = Replica::start(script(first)).await;
     let b = Replica::start(vec![Action::Write(events(3, 5) + END)]).await;
     (a, b)
 }
 
 #[test]
-fn a_whole_stream_is_relayed() {
+fn complete_stream_is_relayed() {
     run(async {
         let replica = Replica::start(vec![Action::Write(events(1, 4) + END)]).await;
         let running = gateway_with(&[&replica]).await;
@@ -48,13 +48,13 @@
     });
 }
 
-/// A replica dies in the middle of its third event. Another goes on behind the second; the caller
-/// sees each event once, and never the torn one.
+/// A replica crashes in the middle of its third event. Another one resumes after the second; the
+/// caller gets each event once, and never the truncated one.
 #[test]
-fn a_stream_goes_on_at_another_replica_behind_the_last_whole_event() {
+fn stream_is_resumed_at_another_replica_after_the_last_whole_event() {
     run(async {
-        let torn = events(1, 2) + &chunk("id: 3\nda");
-        let (a, b) = breaking(&torn).await;
+        let truncated = events(1, 2) + &chunk("id: 3\nda");
+        let (a, b) = breaking(&truncated).await;
         let running = gateway_with(&[&a, &b]).await;
         let mut resumed = 0;
 
@@ -67,16 +67,16 @@
         }
 
         assert_eq!(resumed, 1);
-        let seen = b.received.borrow();
-        let last = seen.iter().filter_map(|s| s.header("last-event-id")).collect::<Vec<_>>();
+        let received = b.received.borrow();
+        let last = received.iter().filter_map(|s| s.header("last-event-id")).collect::<Vec<_>>();
         assert_eq!(last, ["2"]);
     });
 }
 
-/// The stream may not be repeated. Joined from two runs, the draft would be neither of them; it
-/// ends broken, so that nobody takes it for whole.
+/// A stream that is not idempotent must not be joined from two runs, whose texts differ. It is
+/// aborted, so that the caller does not take it for complete.
 #[test]
-fn a_stream_that_may_not_be_repeated_looks_broken() {
+fn non_idempotent_stream_that_breaks_off_is_aborted() {
     run(async {
         let replica = Replica::start(vec![Action::WriteAndClose(events(1, 2))]).await;
         let running = gateway_with(&[&replica]).await;
@@ -89,10 +89,10 @@
     });
 }
 
-/// A replica breaks off before its first event. Nothing has been passed on, so the caller gets a
-/// true answer instead of a broken stream.
+/// A replica breaks off before its first event. Nothing has been forwarded, so the caller gets an
+/// error response instead of an aborted stream.
 #[test]
-fn a_stream_that_breaks_before_its_first_event_is_answered() {
+fn stream_that_breaks_off_before_its_first_event_gets_an_error_response() {
     run(async {
         let replica = Replica::start(vec![Action::WriteAndClose(events(1, 0))]).await;
         let running = gateway_with(&[&replica]).await;
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn a_refused_stream_is_sent_on() {
+fn refused_stream_is_sent_to_another_replica() {
     run(async {
         let a = Replica::start(vec![Action::Write(refusal())]).await;
         let b = Replica::start(vec![Action::Write(events(1, 2) + END)]).await;
@@ -117,9 +117,10 @@
     });
 }
 
-/// A caller reads two events of a chat and leaves. The engine must not go on with it.
+/// A caller reads part of a stream and disconnects. The stream must end at the gateway and at the
+/// engine.
 #[test]
-fn a_caller_that_leaves_a_stream_ends_it_at_the_replica() {
+fn stream_ends_when_its_caller_disconnects() {
     run(async {
         let replica = Replica::start(vec![Action::Write(events(1, 2))]).await;
         let running = gateway_with(&[&replica]).await;
@@ -136,13 +137,13 @@
     });
 }
 
-/// Nine engines before six gateways: most streams find a connection that an earlier one has left.
+/// Streams of an engine reuse the connection that an earlier stream has returned to the pool.
 #[test]
 fn streams_of_an_engine_share_a_connection() {
     run(async {
         let replica = Replica::start(vec![Action::Write(events(1, 2) + END)]).await;
-        let held = Rc::new(RefCell::new(Some(view_of_engines(&[&replica]))));
-        let running = gateway(&held).await;
+        let contents = Rc::new(RefCell::new(Some(view_of_engines(&[&replica]))));
+        let running = gateway(&contents).await;
 
         for i in 0..4 {
             let answer = call(&running, "/once-stream/x", &format!("call-{i}")).await;
@@ -153,15 +154,16 @@
     });
 }
 
-/// An engine drops a kept connection with a draft on it. Whether the draft ran nobody can tell: it
-/// is neither sent to another engine, where it would run twice, nor said not to have run.
+/// An engine closes a pooled connection on which a stream that is not idempotent was sent. It is
+/// unknown whether the call ran: it must neither be repeated, as it could run twice, nor reported
+/// as not run.
 #[test]
-fn a_stream_that_is_lost_with_a_kept_connection_is_not_repeated() {
+fn stream_that_is_lost_with_a_pooled_connection_is_not_repeated() {
     run(async {
         let script = vec![Action::Write(events(1, 2) + END), Action::WriteAndClose(String::new())];
         let replica = Replica::start(script).await;
-        let held = Rc::new(RefCell::new(Some(view_of_engines(&[&replica]))));
-        let running = gateway(&held).await;
+        let contents = Rc::new(RefCell::new(Some(view_of_engines(&[&replica]))));
+        let running = gateway(&contents).await;
 
         let first = call(&running, "/once-stream/x", "call-1").await;
         let second = call(&running, "/once-stream/x", "call-2").await;
@@ -173,9 +175,9 @@
     });
 }
 
-/// A plain service is told apart: each call that may run once has a connection of its own there.
+/// Unlike engines, a plain service gets a new connection for each call that is not idempotent.
 #[test]
-fn calls_that_may_run_once_share_no_connection_at_a_plain_service() {
+fn non_idempotent_calls_share_no_connection_to_a_plain_service() {
     run(async {
         let replica = Replica::start(vec![Action::Write(events(1, 2) + END)]).await;
         let running = gateway_with(&[&replica]).await;
@@ -188,10 +190,10 @@
     });
 }
 
-/// A question is sent to an engine that takes it and never says anything. Its caller waited until the
-/// lot had closed; it has to hear at its deadline, and that the question may have run.
+/// An engine accepts a call and never responds. The caller must get a response at its deadline,
+/// saying that the call may have run, instead of waiting on.
 #[test]
-fn a_question_that_is_never_answered_ends_at_its_deadline() {
+fn stream_without_a_response_ends_at_its_deadline() {
     run(async {
         let replica = Replica::start(vec![Action::Silent]).await;
         let running = gateway_with(&[&replica]).await;
@@ -204,10 +206,10 @@
     });
 }
 
-/// The engine begins to answer and falls silent, on a connection that stays open. At the deadline the
-/// stream ends, and looks broken: what has come is not the whole answer.
+/// An engine sends some events and then nothing more, on a connection that stays open. At the
+/// deadline the stream is aborted, as the response is not complete.
 #[test]
-fn a_question_whose_answer_stalls_ends_at_its_deadline() {
+fn stream_that_stalls_is_aborted_at_its_deadline() {
     run(async {
         let replica = Replica::start(vec![Action::Write(events(1, 2))]).await;
         let running = gateway_with(&[&replica]).await;
