--- a/gateway/src/duty.rs
+++ b/gateway/src/duty.rs
@@ -1,4 +1,7 @@
-//! Duties that one gateway of the fleet carries out for all: who leads, and what the leader does.
+//! Duties that the leader carries out for all gateways, and the election of the leader.
+//!
+//! The leader sends usage reports and orders replicas. Every gateway takes part in the election and
+//! sends its usage counts to the leader and to a backup.
 
 mod delivery;
 mod election;
@@ -42,75 +45,76 @@
 use crate::shared::Shared;
 use crate::store::Reply;
 
-/// What a deployment asks for.
+/// Duties that a deployment requires, and their timing.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Options {
-    /// Times of the election.
+    /// Durations of the election.
     pub election: leader::Timing,
-    /// Windows of usage reports, if they are a duty.
+    /// Schedule of usage reports; `None` if they are not a duty.
     pub usage: Option<usage::Schedule>,
-    /// Replicas are to be ordered.
+    /// Whether ordering replicas is a duty.
     pub autoscale: bool,
-    /// The whole system starts for the first time, so nobody has led before.
+    /// Whether the whole system starts for the first time, so there was no leader before.
     pub is_first_start: bool,
 }
 
-/// The leader's record was written.
+/// A successful write of the leader's record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Acquisition {
-    /// Its lease.
+    /// Number of the lease of the record.
     pub lease: u64,
-    /// Life of the lease.
+    /// Time to live of the lease.
     pub ttl: Span,
     /// Position of the write.
     pub position: Position,
 }
 
-/// The journal as the store holds it.
+/// The stored journal.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Entry {
-    /// What leaders have left; `None` if it does not exist or can't be read.
+    /// The journal; `None` if it does not exist or can't be decoded.
     pub journal: Option<Journal>,
-    /// Revision of its last change; 0 if it does not exist.
+    /// Revision of the last write; 0 if the entry does not exist.
     pub revision: u64,
 }
 
-/// A write of the journal, done only if nobody else has written and the term goes on.
+/// A conditional write of the journal, which fails if the journal has changed or the term has
+/// ended.
 #[derive(Clone, Debug)]
 pub struct Write {
-    /// What takes the journal's place.
+    /// The new journal.
     pub journal: Journal,
-    /// Revision that the journal must have.
+    /// Expected revision of the stored journal.
     pub revision: u64,
-    /// The term in which it is written.
+    /// Fencing token of the term.
     pub token: Token,
 }
 
-/// Replicas as a read of the store found them.
+/// Replicas found by one read of the store.
 #[derive(Clone, Debug, Default)]
 pub struct Inventory {
-    /// When the read began.
+    /// Start of the read.
     pub at: Time,
-    /// Bounds and prices, by service.
+    /// Limits and prices by service.
     pub scaling: Arc<BTreeMap<String, Scaling>>,
-    /// Replicas, by service and failure domain.
+    /// Capacity by service and failure domain.
     pub capacities: BTreeMap<String, Capacities>,
 }
 
-/// A call of a duty in progress; an error if it got no answer.
+/// Future outcome of a call of a duty; an error if there was no answer.
 pub type Answer = Pin<Box<dyn Future<Output = io::Result<Outcome>>>>;
 
-/// Calls of the store and of the platform, as one platform makes them.
+/// Calls to the store and to the platform, as implemented for one platform.
 pub struct Calls {
-    /// Writes the leader's record under a new lease of this length, if there is none.
+    /// Writes the leader's record, if there is none, under a new lease with this time to live.
     pub acquire: Box<dyn Fn(Span) -> Reply<Acquisition>>,
-    /// Renews the lease.
+    /// Renews the lease of this number.
     pub renew: Box<dyn Fn(u64) -> Reply<()>>,
-    /// Ends the lease, and the record with it.
+    /// Revokes the lease of this number, which removes the leader's record.
     pub release: Box<dyn Fn(u64) -> Reply<()>>,
     /// Reads the journal.
     pub read: Box<dyn Fn() -> Reply<Entry>>,
-    /// Writes the journal; returns its revision.
+    /// Writes the journal and returns its revision.
     pub write: Box<dyn Fn(Write) -> Reply<u64>>,
     /// Sends a usage report.
     pub report: Box<dyn Fn(Report, Permit) -> Answer>,
@@ -118,7 +122,7 @@
     pub order: Box<dyn Fn(String, Order, Permit) -> Answer>,
 }
 
-/// State of the duties.
+/// State of the duties at one gateway.
 pub struct State {
     options: Options,
     calls: Calls,
@@ -127,18 +131,18 @@
     wall: RefCell<Wall>,
     leader: Cell<Option<Identity>>,
     inventory: RefCell<Inventory>,
-    /// Era of the first sound read of the store.
+    /// Era of the store at the first successful read.
     first_era: Cell<Option<u64>>,
-    woken: Notify,
+    wakeup: Notify,
 }
 
-/// Time of day by the host's own clock.
+/// Time of the system clock, in microseconds since the Unix epoch.
 pub fn system_time() -> WallTime {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros() as u64)
 }
 
 impl State {
-    /// The duties of the gateway `name`.
+    /// State of the duties at the gateway `name`.
     pub fn new(options: Options, calls: Calls, name: &str, incarnation: u64) -> State {
         let now = clock::now();
         let gateway = directory::short_hash(name);
@@ -153,49 +157,49 @@
             leader: Cell::new(None),
             inventory: RefCell::default(),
             first_era: Cell::new(None),
-            woken: Notify::new(),
+            wakeup: Notify::new(),
         }
     }
 
-    /// Counts a request that began to run at `at`.
+    /// Counts a request that started at `at`.
     pub fn record(&self, at: Time, organisation: &str) {
         if let Some(collector) = self.usage.borrow_mut().as_mut() {
             collector.record(self.wall.borrow().at(at), organisation);
         }
     }
 
-    /// Takes in the revision of the leader's record, if there is one, that a read of the store found;
-    /// it began at `sent`.
+    /// Records the result of a read of the store that was sent at `sent`: the revision of the
+    /// leader's record, or `None` if there is no record.
     pub fn observe(&self, sent: Time, record: Option<u64>) {
         self.election.borrow_mut().observe(clock::now(), sent, record);
         if record.is_none() {
-            self.woken.notify_one();
+            self.wakeup.notify_one();
         }
     }
 
-    /// Takes in the replicas that a read of the store found.
+    /// Replaces the inventory by that of a newer read of the store.
     pub fn set_inventory(&self, inventory: Inventory) {
         self.inventory.replace(inventory);
     }
 
-    /// Who leads, as far as this gateway knows.
+    /// Identity of the leader, if one is known to this gateway.
     pub fn leader(&self) -> Option<Identity> {
         self.leader.get()
     }
 
-    /// Takes in who leads.
+    /// Records the identity of a leader, unless a later term is known.
     pub fn observe_leader(&self, leader: Identity) {
         if self.leader.get().is_none_or(|known| known.token < leader.token) {
             self.leader.set(Some(leader));
         }
     }
 
-    /// Takes in the time of day that a peer stated.
+    /// Records the time of a peer's clock.
     pub fn observe_wall(&self, now: Time, peer: u32, wall: WallTime) {
         self.wall.borrow_mut().observe(now, peer, wall);
     }
 
-    /// Takes in usage batches; returns which of them need not be sent again.
+    /// Stores usage batches from a gateway and returns those to acknowledge.
     pub fn merge(&self, from: u32, batches: Vec<Batch>) -> Vec<usage::BatchId> {
         let token = self.leader.get().map_or(0, |leader| leader.token);
         let mut collector = self.usage.borrow_mut();
@@ -205,28 +209,28 @@
             .unwrap_or_default()
     }
 
-    /// Takes in that a gateway holds these batches.
+    /// Records that a gateway has acknowledged these batches.
     pub fn record_acks(&self, by: u32, ids: &[usage::BatchId]) {
         if let Some(collector) = self.usage.borrow_mut().as_mut() {
             collector.record_acks(by, ids);
         }
     }
 
-    /// Token of this gateway's term; 0 if it does not lead.
+    /// Token of this gateway's term; 0 if this gateway is not the leader.
     pub fn token(&self) -> u64 {
         self.election.borrow().token().map_or(0, Token::get)
     }
 }
 
-/// Ends the term, if there is one, so that a successor need not wait for its lease to lapse.
+/// Resigns if this gateway leads, so that the next leader need not wait for the lease to expire.
 pub fn stop(shared: &Shared) {
     if let Some(duties) = &shared.duties {
         duties.election.borrow_mut().stop();
-        duties.woken.notify_one();
+        duties.wakeup.notify_one();
     }
 }
 
-/// Hands the last counts of a process over that is about to end.
+/// Sends the last usage counts before the process ends.
 pub async fn flush_usage(shared: &Shared) {
     if let Some(duties) = &shared.duties {
         delivery::deliver(shared, duties).await;
--- a/gateway/src/duty/election.rs
+++ b/gateway/src/duty/election.rs
@@ -1,4 +1,4 @@
-//! The election loop: campaigns, renewals and resignations.
+//! Runs the election loop of a gateway: campaigns, renewals of the lease and resignations.
 
 use laburnumwheel_core::gateway::directory;
 use laburnumwheel_core::gateway::leader;
@@ -16,7 +16,7 @@
 use crate::store::Error;
 use crate::store::with_timeout;
 
-/// Campaigns, renews and resigns, for ever.
+/// Carries out the steps of the election and never returns if there are duties.
 pub async fn run_election(shared: Shared, eras: Eras) {
     let Some(duties) = &shared.duties else {
         return;
@@ -34,7 +34,7 @@
             Step::Wait(span) => {
                 tokio::select! {
                     () = tokio::time::sleep(clock::duration(span)) => {}
-                    () = duties.woken.notified() => {}
+                    () = duties.wakeup.notified() => {}
                 }
             }
             Step::Campaign => campaign(&shared, duties, &eras).await,
@@ -49,10 +49,10 @@
 }
 
 fn log_ended(shared: &Shared, duties: &State) {
-    let ended = duties.election.borrow_mut().take_ended();
-    for (token, end) in ended {
-        shared.metrics.count("terms_ended_total", format!("cause=\"{end}\""));
-        shared.log(Line::new("term_ended").with("token", token).with("cause", end));
+    let causes = duties.election.borrow_mut().take_ended();
+    for (token, cause) in causes {
+        shared.metrics.count("terms_ended_total", format!("cause=\"{cause}\""));
+        shared.log(Line::new("term_ended").with("token", token).with("cause", cause));
     }
 }
 
@@ -75,7 +75,7 @@
     let stored = match stored {
         Ok(stored) if eras.newest().unwrap_or(0) == acquired.position.era => stored,
         other => {
-            // The lease lapses by itself: nobody acts under it.
+            // No term has begun under the lease, so it may expire by itself.
             let error = other.err().map_or_else(|| "rollback".to_owned(), |e| e.to_string());
             shared.log(Line::new("campaign_lost").with("error", error));
             duties.election.borrow_mut().fail_campaign();
@@ -100,15 +100,15 @@
     shared.metrics.count("terms_total", String::new());
     let line = Line::new("term_began").with("token", token).with("lease", acquired.lease);
     shared.log(line.with("position", acquired.position));
-    tokio::task::spawn_local(term::work(shared.clone(), eras.clone(), token, stored));
+    tokio::task::spawn_local(term::run_term(shared.clone(), eras.clone(), token, stored));
 }
 
-/// Era of the last term; at the first start of the whole system there was none, so that nobody is
-/// waited for.
+/// Era of the previous term; `None` if it is unknown. At the first start of the whole system there
+/// was no previous term, and the current era is returned, so that the new leader does not wait.
 fn last_era(duties: &State, stored: &Entry, era: u64) -> Option<u64> {
     match &stored.journal {
         Some(journal) => Some(journal.era),
-        // A store that has come back since may have lost the journal.
+        // In a later era the store may have been restored from a copy without the journal.
         None if duties.options.is_first_start && duties.first_era.get() == Some(era) => Some(era),
         None => None,
     }
--- a/gateway/src/duty/orders.rs
+++ b/gateway/src/duty/orders.rs
@@ -1,4 +1,4 @@
-//! Orders of replicas by the leader.
+//! Orders replicas while this gateway leads.
 
 use laburnumwheel_core::gateway::autoscaler::Autoscaler;
 use laburnumwheel_core::gateway::autoscaler::Capacities;
@@ -11,26 +11,26 @@
 use crate::clock;
 use crate::log::Line;
 
-/// Time from one look at the demand for replicas to the next.
-const SCALING: Span = Span::millis(500);
-/// Age beyond which a count of the replicas is not gone by.
+/// Time from one evaluation of the demand for replicas to the next.
+const SCALING_INTERVAL: Span = Span::millis(500);
+/// Age beyond which an inventory is not used.
 const MAX_INVENTORY_AGE: Span = Span::millis(2_000);
-/// Time after an outage of the store until the entries of all live replicas are back.
-const ENTRIES_BACK: Span = Span::secs(3);
-/// Share of the engines that stay if all spot instances are reclaimed.
+/// Time after an outage of the store within which all live replicas register again.
+const REGISTRATION: Span = Span::secs(3);
+/// Share of ordinary engines, which remain if all spot instances are reclaimed.
 const ORDINARY_SHARE: f64 = 0.0;
 
 impl Term<'_> {
-    /// Orders the replicas that the demand asks for.
+    /// Orders replicas of all services according to the demand.
     pub(super) async fn scale(&mut self) {
         let now = clock::now();
-        if !self.duties.options.autoscale || now.since(self.scaled_at) < SCALING {
+        if !self.duties.options.autoscale || now.since(self.scaled_at) < SCALING_INTERVAL {
             return;
         }
         self.scaled_at = now;
         let inventory = self.duties.inventory.borrow().clone();
-        let is_new = now.since(self.began) < ENTRIES_BACK && !self.duties.options.is_first_start;
-        if is_new || now.since(inventory.at) > MAX_INVENTORY_AGE {
+        let is_early = now.since(self.began) < REGISTRATION && !self.duties.options.is_first_start;
+        if is_early || now.since(inventory.at) > MAX_INVENTORY_AGE {
             return;
         }
         for (service, scaling) in inventory.scaling.iter() {
@@ -42,8 +42,9 @@
         }
     }
 
-    /// Whether the read lacks none of the replicas in use. After an outage of the store entries are missing
-    /// although their replicas live, and the fleet would shrink to what is left.
+    /// Whether the inventory includes all replicas that this gateway uses. After an outage of the
+    /// store the entries of live replicas are missing, and an order based on the remaining ones
+    /// would shrink the fleet.
     fn is_complete(&self, service: &str, capacities: &Capacities) -> bool {
         let counted: u32 =
             capacities.values().map(|capacity| capacity.ordinary + capacity.spot).sum();
@@ -70,7 +71,7 @@
         }
     }
 
-    /// Places an order; `false` if no more calls can be made now.
+    /// Places an order; `false` if no further call can be made now.
     async fn order(
         &mut self,
         service: &str,
@@ -88,7 +89,7 @@
         let outcome = *answer.as_ref().unwrap_or(&Outcome::Unanswered);
         let ended = clock::now();
         self.duties.election.borrow_mut().end_call(ended, &permit, outcome);
-        self.duties.woken.notify_one();
+        self.duties.wakeup.notify_one();
         let labels = format!("kind=\"{}\",outcome=\"{outcome}\"", order.kind);
         self.shared.metrics.count("orders_total", labels);
         let capacity = capacities.get(&order.domain).cloned().unwrap_or_default();
--- a/gateway/src/duty/term.rs
+++ b/gateway/src/duty/term.rs
@@ -1,4 +1,7 @@
-//! One term of a leader: usage reports, fixed in the journal and then sent.
+//! Carries out the duties during one term of a leader.
+//!
+//! A usage report is fixed by a write to the journal before it is sent, so that the next leader can
+//! only repeat the same report.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -23,34 +26,37 @@
 use crate::store::Error;
 use crate::store::with_timeout;
 
-/// Time from one look of the leader for something to do to the next.
-const WORK: Duration = Duration::from_millis(250);
-/// Failed writes of the journal in a row after which the leader resigns.
-const MAX_CONFLICTS: u32 = 3;
+/// Time from one check for work to the next.
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
+/// Number of failed writes of the journal in a row at which the leader resigns.
+const MAX_FAILED_WRITES: u32 = 3;
 
-/// One term of this gateway.
+/// State of one term of this gateway.
 pub(super) struct Term<'a> {
     pub(super) shared: &'a Shared,
     pub(super) duties: &'a State,
     pub(super) eras: &'a Eras,
     pub(super) token: u64,
     pub(super) stored: Entry,
-    /// The journal in the store may differ from the known one.
+    /// Whether the journal in the store may differ from `stored`.
     pub(super) is_stale: bool,
-    pub(super) conflicts: u32,
-    pub(super) accepted: Window,
-    pub(super) left_out: Window,
+    /// Failed writes of the journal since the last successful one.
+    pub(super) failed_writes: u32,
+    /// Newest window whose report the platform has accepted.
+    pub(super) last_accepted: Window,
+    /// Newest window for which no report is sent.
+    pub(super) last_omitted: Window,
     pub(super) autoscalers: BTreeMap<String, Autoscaler>,
     pub(super) scaled_at: Time,
     pub(super) began: Time,
 }
 
-/// Carries the duties out until the term ends.
-pub(super) async fn work(shared: Shared, eras: Eras, token: u64, stored: Entry) {
+/// Carries out the duties until the term ends.
+pub(super) async fn run_term(shared: Shared, eras: Eras, token: u64, stored: Entry) {
     let Some(duties) = &shared.duties else {
         return;
     };
-    let (is_stale, conflicts, accepted, left_out) = (false, 0, 0, 0);
+    let (is_stale, failed_writes, last_accepted, last_omitted) = (false, 0, 0, 0);
     let (autoscalers, scaled_at) = (BTreeMap::new(), Time(0));
     let mut term = Term {
         shared: &shared,
@@ -59,9 +65,9 @@
         token,
         stored,
         is_stale,
-        conflicts,
-        accepted,
-        left_out,
+        failed_writes,
+        last_accepted,
+        last_omitted,
         autoscalers,
         scaled_at,
         began: clock::now(),
@@ -71,7 +77,7 @@
             term.report_usage().await;
             term.scale().await;
         }
-        tokio::time::sleep(WORK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -82,7 +88,7 @@
 
     /// Fixes and sends the reports that are due.
     async fn report_usage(&mut self) {
-        if !self.has_journal().await {
+        if !self.ensure_journal().await {
             return;
         }
         let wall = self.wall();
@@ -90,12 +96,12 @@
             Some(collector) => collector.reportable(wall),
             None => return,
         };
-        let accepted = self.accepted;
-        for window in windows.into_iter().filter(|w| *w > accepted) {
+        let last_accepted = self.last_accepted;
+        for window in windows.into_iter().filter(|w| *w > last_accepted) {
             let fixed = self.stored.journal.as_ref().and_then(|j| j.report(window)).cloned();
             let fixed = match fixed {
                 Some(report) => Some(report),
-                None => self.fix(window).await,
+                None => self.fix_report(window).await,
             };
             let Some(report) = fixed else {
                 if self.is_stale {
@@ -103,14 +109,15 @@
                 }
                 continue;
             };
-            if !self.send(report).await {
+            if !self.send_report(report).await {
                 return;
             }
         }
     }
 
-    /// Whether the journal is known and is that of this term's era.
-    async fn has_journal(&mut self) -> bool {
+    /// Reads the journal if it is stale, and writes it for this term's era if it is of another one.
+    /// Returns whether the journal is up to date.
+    async fn ensure_journal(&mut self) -> bool {
         if self.is_stale {
             let stored = with_timeout((self.duties.calls.read)()).await;
             self.shared.metrics.store_call("journal", stored.is_ok());
@@ -127,29 +134,29 @@
         if self.stored.journal.is_some() && journal.era == token.era() {
             return true;
         }
-        // What the predecessor of another era has sent is not known, so nothing is sent of any window
-        // that it may have reported.
+        // The reports sent by a leader of another era are unknown, so no window is reported for
+        // which such a leader may have sent a report.
         let last_window = match self.duties.usage.borrow().as_ref() {
             Some(collector) => collector.last_possibly_reported(self.wall()),
             None => 0,
         };
-        self.write(token, journal.with_term(token.era(), last_window)).await
+        self.write_journal(token, journal.with_term(token.era(), last_window)).await
     }
 
-    async fn write(&mut self, token: Token, journal: Journal) -> bool {
+    async fn write_journal(&mut self, token: Token, journal: Journal) -> bool {
         let write = Write { journal: journal.clone(), revision: self.stored.revision, token };
         let result = with_timeout((self.duties.calls.write)(write)).await;
         self.shared.metrics.store_call("journal", result.is_ok());
         match result {
             Ok(revision) if self.eras.newest().unwrap_or(0) == token.era() => {
                 self.stored = Entry { journal: Some(journal), revision };
-                self.conflicts = 0;
+                self.failed_writes = 0;
                 true
             }
             result => {
                 self.is_stale = true;
-                self.conflicts += 1;
-                if self.conflicts >= MAX_CONFLICTS && result == Err(Error::Refused(412)) {
+                self.failed_writes += 1;
+                if self.failed_writes >= MAX_FAILED_WRITES && result == Err(Error::Refused(412)) {
                     self.duties.election.borrow_mut().resign(leader::Cause::LeaseEnded);
                 }
                 false
@@ -157,8 +164,9 @@
         }
     }
 
-    /// Fixes what the report of a window says; `None` if nobody can vouch for it, or the write failed.
-    async fn fix(&mut self, window: Window) -> Option<Report> {
+    /// Fixes the report of a window in the journal; `None` if the write failed, or if the report is
+    /// omitted because one may have been sent already or too few gateways have sent their counts.
+    async fn fix_report(&mut self, window: Window) -> Option<Report> {
         let (report, reporting) = {
             let collector = self.duties.usage.borrow();
             let collector = collector.as_ref()?;
@@ -167,12 +175,12 @@
         let is_open = self.stored.journal.as_ref().is_some_and(|j| j.is_open(window));
         let live = self.shared.gateway.borrow().live_peers(clock::now()) + 1;
         if !is_open || reporting * 2 < live {
-            self.leave_out(window, reporting);
+            self.omit(window, reporting);
             return None;
         }
         let token = self.duties.election.borrow().active_token(clock::now())?;
         let journal = self.stored.journal.clone()?.with_report(report.clone());
-        if !self.write(token, journal).await {
+        if !self.write_journal(token, journal).await {
             return None;
         }
         let requests: u64 = report.counts.values().sum();
@@ -181,17 +189,17 @@
         Some(report)
     }
 
-    fn leave_out(&mut self, window: Window, reporting: usize) {
-        if window > self.left_out {
-            self.left_out = window;
+    fn omit(&mut self, window: Window, reporting: usize) {
+        if window > self.last_omitted {
+            self.last_omitted = window;
             self.shared.metrics.count("usage_windows_total", "outcome=\"left_out\"".to_owned());
             let line = Line::new("usage_left_out").with("window", window);
             self.shared.log(line.with("gateways", reporting).with("token", self.token));
         }
     }
 
-    /// Sends a report that is fixed; `false` if no more calls can be made now.
-    async fn send(&mut self, report: Report) -> bool {
+    /// Sends a fixed report; `false` unless the platform has accepted it.
+    async fn send_report(&mut self, report: Report) -> bool {
         let now = clock::now();
         let era = self.eras.newest().unwrap_or(0);
         let permit = self.duties.election.borrow_mut().begin_call(now, era);
@@ -203,7 +211,7 @@
         let outcome = *answer.as_ref().unwrap_or(&Outcome::Unanswered);
         let ended = clock::now();
         self.duties.election.borrow_mut().end_call(ended, &permit, outcome);
-        self.duties.woken.notify_one();
+        self.duties.wakeup.notify_one();
         self.shared.metrics.count("usage_windows_total", format!("outcome=\"{outcome}\""));
         let line = Line::new("usage_reported").with("window", window).with("outcome", outcome);
         let line = line.with("token", permit.token);
@@ -213,7 +221,7 @@
             Err(e) => line.with("error", e),
         });
         if outcome == Outcome::Accepted {
-            self.accepted = window;
+            self.last_accepted = window;
         }
         outcome == Outcome::Accepted
     }
--- a/gateway/src/view.rs
+++ b/gateway/src/view.rs
@@ -1,9 +1,9 @@
-//! What the store holds, passed on from the gateways that read it to the others.
+//! Transfers views of the store from the gateways that read it to the others.
 //!
-//! Every call of the store has its price, and a fleet may make only so many. So a few gateways
-//! read, and the others ask one of them whether anything has changed, and for what has. The
-//! answer's proof ages from the reader's own read: a question sent at `t` and answered with an age
-//! of `a` proves what the store held at `t - a` or later.
+//! The store limits the number of calls of a fleet. A few gateways therefore read the store, and
+//! each of the others requests changes from one of them. The age of the proof counts from the
+//! reader's own read: a request sent at `t` and answered with an age of `a` proves the content of
+//! the store at `t - a` or later.
 
 use std::collections::BTreeMap;
 
@@ -31,10 +31,11 @@
 use crate::store::Error;
 use crate::store::READ_TIMEOUT;
 
-/// Encoded differences that are kept: one for each state that askers are in after a change.
-const DELTAS: usize = 16;
+/// Upper bound on cached differences: one for each earlier view that peers still have after a
+/// change.
+const MAX_CACHED_DELTAS: usize = 16;
 
-/// Differences to the newest view in encoded form, as many ask for the same in a row.
+/// Cache of encoded differences to the newest view, as many peers request the same ones.
 #[derive(Debug, Default)]
 pub struct Deltas {
     to: Digest,
@@ -42,9 +43,9 @@
 }
 
 impl Deltas {
-    fn get(&mut self, delta: (Digest, Digest), encode: impl FnOnce() -> Bytes) -> Bytes {
-        let (from, to) = delta;
-        if self.to != to || self.encoded.len() >= DELTAS {
+    fn get(&mut self, key: (Digest, Digest), encode: impl FnOnce() -> Bytes) -> Bytes {
+        let (from, to) = key;
+        if self.to != to || self.encoded.len() >= MAX_CACHED_DELTAS {
             self.encoded.clear();
             self.to = to;
         }
@@ -52,10 +53,11 @@
     }
 }
 
-/// Answers a peer that asks for what is new to it: the age of the proof, then the difference.
+/// Responds to a peer with the age of the proof, in microseconds, and the difference to the newest
+/// view.
 pub fn respond(shared: &Shared, request: &Request<Incoming>) -> Response<Payload> {
     let age = shared.gateway.borrow().proof_age(clock::now());
-    let delta = age.and_then(|_| difference(shared, digest(request.uri().query())));
+    let delta = age.and_then(|_| encode_delta(shared, parse_digest(request.uri().query())));
     let (Some(age), Some(delta)) = (age, delta) else {
         let mut response = Response::new(Payload::full(""));
         *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
@@ -66,7 +68,7 @@
     Response::new(Payload::full(bytes))
 }
 
-fn difference(shared: &Shared, known: Digest) -> Option<Bytes> {
+fn encode_delta(shared: &Shared, known: Digest) -> Option<Bytes> {
     let views = shared.views.borrow();
     let newest = views.newest()?;
     let base = views.base(known);
@@ -80,26 +82,26 @@
     Some(shared.deltas.borrow_mut().get((base.digest, newest.digest), encode))
 }
 
-/// The digest that a peer says it has; that of nothing if it says none.
-fn digest(query: Option<&str>) -> Digest {
+/// Parses the digest of a peer's view; absent or malformed parts are those of an empty view.
+fn parse_digest(query: Option<&str>) -> Digest {
     let mut parts = query.unwrap_or_default().split('-');
     let mut part = || parts.next().and_then(|p| u64::from_str_radix(p, 16).ok()).unwrap_or(0);
     Digest { config: part(), replicas: part(), gateways: part() }
 }
 
-/// Fetches what is new from the peer at `address`; returns everything, with the time at which it was
-/// true.
+/// Fetches the newest view from the peer at `address`, with the time at which it was current.
 ///
 /// # Errors
 ///
-/// Why there is no view.
+/// Fails if the peer can't be reached, refuses or answers too late, or if its answer is malformed.
 pub async fn fetch(shared: &Shared, address: &str) -> Result<(Time, Snapshot), Error> {
     let known = shared.views.borrow().newest().cloned();
     let (sent, delta) = fetch_delta(shared, address, known.as_ref()).await?;
     match delta.apply(known.as_ref()) {
         Ok(new) => Ok((sent, new)),
         Err(e) => {
-            // What comes out is checked, so a wrong difference costs one whole view and no more.
+            // The result is checked against its digest, so a wrong difference costs one transfer of
+            // a full view.
             shared.metrics.count("view_mismatches_total", String::new());
             shared.log(Line::new("view_mismatch").with("reader", address).with("error", e));
             let (sent, delta) = fetch_delta(shared, address, None).await?;
@@ -113,8 +115,8 @@
     address: &str,
     known: Option<&Snapshot>,
 ) -> Result<(Time, Delta), Error> {
-    let asked = clock::now();
-    let head = tokio::time::timeout(CALL_TIMEOUT, head(address, known)).await;
+    let sent = clock::now();
+    let head = tokio::time::timeout(CALL_TIMEOUT, request_head(address, known)).await;
     let (_channel, response) = head.unwrap_or(Err(Error::TimedOut))?;
     let body = tokio::time::timeout(READ_TIMEOUT, store::collect(response.into_body())).await;
     let bytes = body.unwrap_or(Err(Error::TimedOut))?;
@@ -124,10 +126,10 @@
     let kind = if delta.is_full() { "whole" } else { "difference" };
     shared.metrics.add("view_bytes_total", format!("kind=\"{kind}\""), bytes.len() as u64);
     shared.metrics.count("view_fetches_total", format!("kind=\"{kind}\""));
-    Ok((asked - Span(u64::from_le_bytes(*age)), delta))
+    Ok((sent - Span(u64::from_le_bytes(*age)), delta))
 }
 
-async fn head(
+async fn request_head(
     address: &str,
     known: Option<&Snapshot>,
 ) -> Result<(Channel, Response<Incoming>), Error> {
