--- a/gateway/tests/views.rs
+++ b/gateway/tests/views.rs
@@ -1,4 +1,4 @@
-//! What gateways hand on to one another of what the store holds.
+//! Transfer of views of the store between gateways.
 
 mod support;
 
@@ -38,13 +38,15 @@
 const READERS: usize = 3;
 const ROUTES: usize = 1_000;
 const REPLICAS: usize = 300;
-/// Most bytes that one change of the list may cost a gateway that asks.
-const CHANGE_BYTES: u64 = 500;
-/// Changes in a row, and the pause between them: a fraction of the time from one read to the next.
+/// Upper bound on the bytes that one change of a list may cost a gateway that fetches it.
+const MAX_CHANGE_BYTES: u64 = 500;
+/// Number of successive changes.
 const CHANGES: usize = 20;
-const PAUSE: Duration = Duration::from_millis(150);
-/// Pause between parts of a slow answer: four of them are longer than one call may take, each is not.
-const SLOW: Duration = Duration::from_millis(400);
+/// Time from one change to the next, a fraction of the time from one read of the store to the next.
+const CHANGE_INTERVAL: Duration = Duration::from_millis(150);
+/// Pause between the four parts of a slow answer: one is shorter than the timeout of a call, four
+/// are longer.
+const SLOW_PAUSE: Duration = Duration::from_millis(400);
 
 fn route(i: usize) -> Route {
     Route {
@@ -74,107 +76,109 @@
     running.shared.gateway.borrow().readers(clock::now()).1
 }
 
-fn open(running: &Running) -> usize {
+/// Number of replicas to which a gateway may send calls.
+fn open_at(running: &Running) -> usize {
     running.shared.gateway.borrow().fleet().iter().filter(|r| !r.closed).count()
 }
 
-/// Gateways that have agreed on who reads, and each of which has found nothing to fetch of late.
-async fn settled(held: &Contents) -> Vec<Running> {
-    let all = gateways(held, GATEWAYS).await;
+/// Starts gateways and waits until they agree on the readers and have nothing to fetch.
+async fn gateways_in_sync(contents: &Contents) -> Vec<Running> {
+    let all = gateways(contents, GATEWAYS).await;
     let agreed = || {
         all.iter().all(|g| g.shared.gateway.borrow().gateway_count() == GATEWAYS as usize)
             && all.iter().filter(|g| is_reader(g)).count() == READERS
     };
     wait_until("readers agreed on", agreed).await;
-    let same = |g: &Running| counter(g, "outcome=\"same\"");
-    let before: Vec<u64> = all.iter().map(same).collect();
-    let asked = || all.iter().zip(&before).all(|(g, b)| is_reader(g) || same(g) > b + 3);
-    wait_until("nothing to fetch", asked).await;
+    let unchanged = |g: &Running| counter(g, "outcome=\"same\"");
+    let before: Vec<u64> = all.iter().map(unchanged).collect();
+    let in_sync = || all.iter().zip(&before).all(|(g, b)| is_reader(g) || unchanged(g) > b + 3);
+    wait_until("nothing to fetch", in_sync).await;
     all
 }
 
-fn bytes(all: &[Running]) -> u64 {
+fn fetched_bytes(all: &[Running]) -> u64 {
     all.iter().map(|g| counter(g, "view_bytes_total")).sum()
 }
 
-/// One gateway refuses all callers seconds after the store has begun to turn it away, though its
-/// peers know everything. As one of the readers it only went on asking the store.
+/// The store refuses one of the readers. If that gateway only repeated its reads instead of
+/// fetching from its peers, it would refuse all callers a few seconds later.
 #[test]
-fn a_reader_that_the_store_turns_away_follows_its_peers() {
+fn a_reader_refused_by_the_store_fetches_from_its_peers() {
     run(async {
-        let held: Contents = Rc::new(RefCell::new(Some(view(1, 2))));
-        let away = Rc::new(Cell::new(false));
-        let stays = Rc::new(Cell::new(false));
-        let stores = [&away, &stays, &stays].map(|switch| refusing_store(&held, switch));
+        let contents: Contents = Rc::new(RefCell::new(Some(view(1, 2))));
+        let refuses = Rc::new(Cell::new(false));
+        let serves = Rc::new(Cell::new(false));
+        let stores = [&refuses, &serves, &serves].map(|switch| refusing_store(&contents, switch));
         let all = gateways_with_stores(stores.into_iter().collect()).await;
         wait_until("all know each other", || {
             all.iter().all(|g| g.shared.gateway.borrow().gateway_count() == READERS)
         })
         .await;
-        away.set(true);
+        refuses.set(true);
 
-        held.borrow_mut().as_mut().unwrap().replicas.remove(7);
-        wait_until("gone everywhere", || all.iter().all(|g| open(g) == REPLICAS - 1)).await;
+        contents.borrow_mut().as_mut().unwrap().replicas.remove(7);
+        wait_until("gone everywhere", || all.iter().all(|g| open_at(g) == REPLICAS - 1)).await;
 
         assert!(is_reader(&all[0]));
         assert!(counter(&all[0], "call=\"read\",sound=\"false\"") > 0);
     });
 }
 
-/// Replicas leave every half second. Each time all gateways fetch everything again, a thousand routes
-/// and hundreds of replicas, from a few readers on narrow links; lists come seconds apart, and calls
-/// go to replicas that have left.
+/// Replicas leave every half second. If all gateways fetch the full view each time, the links of
+/// the few readers are saturated, lists arrive seconds late, and calls are sent to replicas that
+/// have left.
 #[test]
-fn one_replica_that_leaves_costs_a_gateway_few_bytes() {
+fn one_leaving_replica_costs_a_gateway_few_bytes() {
     run(async {
-        let held: Contents = Rc::new(RefCell::new(Some(view(1, ROUTES))));
-        let all = settled(&held).await;
-        let before = bytes(&all);
+        let contents: Contents = Rc::new(RefCell::new(Some(view(1, ROUTES))));
+        let all = gateways_in_sync(&contents).await;
+        let before = fetched_bytes(&all);
 
-        held.borrow_mut().as_mut().unwrap().replicas.remove(7);
-        wait_until("gone everywhere", || all.iter().all(|g| open(g) == REPLICAS - 1)).await;
+        contents.borrow_mut().as_mut().unwrap().replicas.remove(7);
+        wait_until("gone everywhere", || all.iter().all(|g| open_at(g) == REPLICAS - 1)).await;
 
-        let cost = bytes(&all) - before;
-        assert!(cost <= CHANGE_BYTES * GATEWAYS, "{cost} bytes");
+        let cost = fetched_bytes(&all) - before;
+        assert!(cost <= MAX_CHANGE_BYTES * GATEWAYS, "{cost} bytes");
     });
 }
 
-/// Replicas leave faster than lists are read. Each reader sees states that the others never saw; a
-/// gateway that asks another reader each time has a state that this one does not know, and gets whole
-/// lists, which fill the links again.
+/// Replicas leave faster than lists are read, so each reader reads views that the others never had.
+/// A gateway that fetches from another reader each time has a view unknown to that reader, receives
+/// full lists, and saturates the links again.
 #[test]
-fn changes_in_a_row_cost_a_gateway_few_bytes_each() {
+fn successive_changes_cost_a_gateway_few_bytes_each() {
     run(async {
-        let held: Contents = Rc::new(RefCell::new(Some(view(1, 2))));
-        let all = settled(&held).await;
-        let before = bytes(&all);
+        let contents: Contents = Rc::new(RefCell::new(Some(view(1, 2))));
+        let all = gateways_in_sync(&contents).await;
+        let before = fetched_bytes(&all);
 
         for _ in 0..CHANGES {
-            held.borrow_mut().as_mut().unwrap().replicas.remove(7);
-            tokio::time::sleep(PAUSE).await;
+            contents.borrow_mut().as_mut().unwrap().replicas.remove(7);
+            tokio::time::sleep(CHANGE_INTERVAL).await;
         }
-        wait_until("gone everywhere", || all.iter().all(|g| open(g) == REPLICAS - CHANGES)).await;
+        wait_until("gone everywhere", || all.iter().all(|g| open_at(g) == REPLICAS - CHANGES))
+            .await;
 
-        let cost = bytes(&all) - before;
-        assert!(cost <= CHANGE_BYTES * GATEWAYS * CHANGES as u64, "{cost} bytes");
+        let cost = fetched_bytes(&all) - before;
+        assert!(cost <= MAX_CHANGE_BYTES * GATEWAYS * CHANGES as u64, "{cost} bytes");
     });
 }
 
 #[test]
-fn one_route_that_is_added_costs_a_gateway_few_bytes() {
+fn one_added_route_costs_a_gateway_few_bytes() {
     run(async {
-        let held: Contents = Rc::new(RefCell::new(Some(view(1, ROUTES))));
-        let all = settled(&held).await;
-        let before = bytes(&all);
+        let contents: Contents = Rc::new(RefCell::new(Some(view(1, ROUTES))));
+        let all = gateways_in_sync(&contents).await;
+        let before = fetched_bytes(&all);
 
-        held.borrow_mut().as_mut().unwrap().config = view(2, ROUTES + 1).config;
+        contents.borrow_mut().as_mut().unwrap().config = view(2, ROUTES + 1).config;
         wait_until("in force everywhere", || {
             all.iter().all(|g| g.shared.gateway.borrow().version() == 2)
         })
         .await;
 
-        let cost = bytes(&all) - before;
-        assert!(cost <= CHANGE_BYTES * GATEWAYS, "{cost} bytes");
+        let cost = fetched_bytes(&all) - before;
+        assert!(cost <= MAX_CHANGE_BYTES * GATEWAYS, "{cost} bytes");
         for g in &all {
             let config = g.shared.gateway.borrow().config().unwrap().clone();
             assert_eq!(config.len(), view(2, ROUTES + 1).config.unwrap().len());
@@ -182,13 +186,13 @@
     });
 }
 
-/// A reader says what has changed, and the bytes are not what it meant. Applied, they would send calls
-/// to replicas that nobody listed; the gateway sees that the digest is another one, and asks for all.
+/// A difference is corrupted and would list a replica that does not exist. The gateway must detect
+/// the wrong digest and fetch the full view.
 #[test]
-fn a_difference_that_leads_elsewhere_is_replaced_by_the_whole_view() {
+fn a_corrupted_difference_is_replaced_by_a_full_view() {
     run(async {
-        let held: Contents = Rc::new(RefCell::new(Some(view(1, 2))));
-        let all = gateways(&held, 1).await;
+        let contents: Contents = Rc::new(RefCell::new(Some(view(1, 2))));
+        let all = gateways(&contents, 1).await;
         let old = all[0].shared.views.borrow().newest().unwrap().clone();
         let mut left = view(1, 2);
         left.replicas.remove(7);
@@ -207,16 +211,16 @@
     });
 }
 
-/// A gateway behind a narrow link has just started, and a whole view takes longer than one call may.
-/// Bounded like a call it never came to its end, and the gateway asked for it again and again.
+/// A gateway behind a narrow link starts, and a full view takes longer than the timeout of a call.
+/// With that timeout the transfer never completes and is repeated indefinitely.
 #[test]
-fn a_whole_view_may_take_longer_than_a_call() {
+fn a_full_view_may_take_longer_than_a_call() {
     run(async {
-        let held: Contents = Rc::new(RefCell::new(Some(view(1, 2))));
-        let all = gateways(&held, 1).await;
+        let contents: Contents = Rc::new(RefCell::new(Some(view(1, 2))));
+        let all = gateways(&contents, 1).await;
         let new = Snapshot::new(view(1, ROUTES), None);
         let whole = Delta::between(Base::default(), &new).encode().unwrap();
-        let reader = reader_at([whole, Vec::new()], SLOW).await;
+        let reader = slow_reader([whole, Vec::new()], SLOW_PAUSE).await;
 
         let fetched = fetch(&all[0].shared, &reader.to_string()).await.unwrap().1;
 
@@ -224,13 +228,13 @@
     });
 }
 
-/// A reader that answers each request with the next of these differences.
+/// Starts a reader that answers each request with the next of these differences.
 async fn reader(deltas: [Vec<u8>; 2]) -> SocketAddr {
-    reader_at(deltas, Duration::ZERO).await
+    slow_reader(deltas, Duration::ZERO).await
 }
 
-/// The same with a pause before each quarter of an answer.
-async fn reader_at(deltas: [Vec<u8>; 2], pause: Duration) -> SocketAddr {
+/// Starts such a reader that pauses before each quarter of an answer.
+async fn slow_reader(deltas: [Vec<u8>; 2], pause: Duration) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     tokio::task::spawn_local(async move {
