--- a/gateway/src/duty/election.rs
+++ b/gateway/src/duty/election.rs
@@ -41,7 +41,7 @@
             Step::Renew(lease) => renew(&shared, duties, &eras, lease).await,
             Step::Release(lease) => {
                 let result = with_timeout((duties.calls.release)(lease)).await;
-                shared.metrics.store_call("release", result.is_ok());
+                shared.metrics.count_store_call("release", result.is_ok());
                 duties.election.borrow_mut().record_release(clock::now());
             }
         }
@@ -61,7 +61,7 @@
     let sent = clock::now();
     let acquired =
         with_timeout((duties.calls.acquire)(duties.options.election.lease_duration)).await;
-    shared.metrics.store_call("acquire", acquired.is_ok());
+    shared.metrics.count_store_call("acquire", acquired.is_ok());
     let acquired = match acquired {
         Ok(acquired) => acquired,
         Err(e) => {
@@ -71,7 +71,7 @@
         }
     };
     let stored = with_timeout((duties.calls.read)()).await;
-    shared.metrics.store_call("journal", stored.is_ok());
+    shared.metrics.count_store_call("journal", stored.is_ok());
     let stored = match stored {
         Ok(stored) if eras.newest().unwrap_or(0) == acquired.position.era => stored,
         other => {
@@ -117,7 +117,7 @@
 async fn renew(shared: &Shared, duties: &State, eras: &Eras, lease: u64) {
     let sent = clock::now();
     let result = with_timeout((duties.calls.renew)(lease)).await;
-    shared.metrics.store_call("renew_leader", result.is_ok());
+    shared.metrics.count_store_call("renew_leader", result.is_ok());
     let (now, era) = (clock::now(), eras.newest().unwrap_or(0));
     let mut election = duties.election.borrow_mut();
     match result {
--- a/gateway/src/duty/term.rs
+++ b/gateway/src/duty/term.rs
@@ -120,7 +120,7 @@
     async fn ensure_journal(&mut self) -> bool {
         if self.is_stale {
             let stored = with_timeout((self.duties.calls.read)()).await;
-            self.shared.metrics.store_call("journal", stored.is_ok());
+            self.shared.metrics.count_store_call("journal", stored.is_ok());
             let Ok(stored) = stored else {
                 return false;
             };
@@ -146,7 +146,7 @@
     async fn write_journal(&mut self, token: Token, journal: Journal) -> bool {
         let write = Write { journal: journal.clone(), revision: self.stored.revision, token };
         let result = with_timeout((self.duties.calls.write)(write)).await;
-        self.shared.metrics.store_call("journal", result.is_ok());
+        self.shared.metrics.count_store_call("journal", result.is_ok());
         match result {
             Ok(revision) if self.eras.newest().unwrap_or(0) == token.era() => {
                 self.stored = Entry { journal: Some(journal), revision };
--- a/gateway/src/gateway.rs
+++ b/gateway/src/gateway.rs
@@ -40,8 +40,9 @@
 use crate::store::Store;
 use crate::view;
 
-/// Time between checks whether a stopping gateway has finished.
-const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Time between checks whether a stopping gateway has finished, and the pause after a failed
+/// `accept`.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Part of the grace period that is left unused, so that the process exits before it is killed.
 const EXIT_RESERVE: Duration = Duration::from_millis(600);
 
@@ -201,7 +202,7 @@
     let handler = Rc::new(handler);
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            tokio::time::sleep(STOP_CHECK_INTERVAL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
             continue;
         };
         let (shared, handler) = (shared.clone(), Rc::clone(&handler));
@@ -260,7 +261,7 @@
         store::withdraw(&shared, self.withdraw).await;
         peers::send_heartbeat(&shared).await;
         loop {
-            tokio::time::sleep(STOP_CHECK_INTERVAL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
             let elapsed = clock::duration(clock::now().since(began));
             if elapsed > self.drain_delay {
                 shared.connections_closing.notify_waiters();
--- a/gateway/src/metrics.rs
+++ b/gateway/src/metrics.rs
@@ -40,7 +40,7 @@
     }
 
     /// Counts a call of the store; `sound` says whether it succeeded.
-    pub fn store_call(&self, call: &'static str, sound: bool) {
+    pub fn count_store_call(&self, call: &'static str, sound: bool) {
         self.count("store_calls_total", format!("call=\"{call}\",sound=\"{sound}\""));
     }
 
--- a/gateway/src/quarantine.rs
+++ b/gateway/src/quarantine.rs
@@ -98,7 +98,7 @@
         return;
     };
     let result = store::with_timeout(write(to_times(&records, now_ms), stored.revision)).await;
-    shared.metrics.store_call("keep", result.is_ok());
+    shared.metrics.count_store_call("keep", result.is_ok());
     let line = Line::new("quarantine_stored").with("fingerprints", records.len());
     shared.log(match result {
         Ok(()) => line.with("outcome", "written"),
--- a/gateway/src/relay.rs
+++ b/gateway/src/relay.rs
@@ -26,7 +26,7 @@
     call: Call,
     exchange: Option<Exchange>,
     splitter: Splitter,
-    /// The first events, read before the stream was passed to the caller.
+    /// The first events, read already when the stream is passed to the caller.
     first: Option<Bytes>,
     recorder: Recorder,
 }
@@ -51,7 +51,7 @@
         let head = exchange.head.clone();
         let mut splitter = Splitter::default();
         let mut exchange = Some(exchange);
-        match step(&mut call, &mut exchange, &mut splitter).await {
+        match read_events(&mut call, &mut exchange, &mut splitter).await {
             Ok(Step::Events(events)) => {
                 recorder.record_event();
                 call.responding = true;
@@ -86,7 +86,7 @@
                 self.recorder.record_end(&self.call, "answered", 200);
                 return Ok(None);
             }
-            match step(&mut self.call, &mut self.exchange, &mut self.splitter).await {
+            match read_events(&mut self.call, &mut self.exchange, &mut self.splitter).await {
                 Ok(Step::Events(events)) => {
                     self.recorder.record_event();
                     return Ok(Some(events));
@@ -151,7 +151,7 @@
 }
 
 /// Reads until at least one whole event has arrived or the stream has ended.
-async fn step(
+async fn read_events(
     call: &mut Call,
     exchange: &mut Option<Exchange>,
     splitter: &mut Splitter,
--- a/gateway/src/server.rs
+++ b/gateway/src/server.rs
@@ -66,8 +66,8 @@
     calls: Cell<usize>,
 }
 
-/// Accepts callers on `listener` and serves their calls with `answer`, forever.
-pub async fn serve<F, R>(shared: Shared, listener: TcpListener, answer: F)
+/// Accepts callers on `listener` and serves their calls with `respond`, forever.
+pub async fn serve<F, R>(shared: Shared, listener: TcpListener, respond: F)
 where
     F: Fn(Shared, Request<Incoming>) -> R + Copy + 'static,
     R: Future<Output = Result<Response<Payload>, Infallible>> + 'static,
@@ -75,7 +75,7 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                tokio::task::spawn_local(connection(shared.clone(), stream, answer));
+                tokio::task::spawn_local(connection(shared.clone(), stream, respond));
             }
             Err(e) => {
                 shared.log(Line::new("accept_failed").with("error", e));
@@ -85,7 +85,7 @@
     }
 }
 
-async fn connection<F, R>(shared: Shared, stream: TcpStream, answer: F)
+async fn connection<F, R>(shared: Shared, stream: TcpStream, respond: F)
 where
     F: Fn(Shared, Request<Incoming>) -> R + Copy + 'static,
     R: Future<Output = Result<Response<Payload>, Infallible>> + 'static,
@@ -100,7 +100,7 @@
         let (shared, activity) = (s.clone(), Rc::clone(&a));
         async move {
             let _busy = Busy::new(activity);
-            answer(shared, request).await
+            respond(shared, request).await
         }
     });
     let limits = shared.gateway.borrow().config().map_or_else(Limits::default, |c| c.limits);
--- a/gateway/src/shared.rs
+++ b/gateway/src/shared.rs
@@ -50,7 +50,7 @@
     pub connections: Cell<usize>,
     /// Wakes the connections of callers when they must be closed.
     pub connections_closing: Notify,
-    /// Wakes calls that must be answered because the process is about to exit.
+    /// Wakes calls that must get a response because the process is about to exit.
     pub calls_ending: Notify,
     /// Number of calls in progress.
     pub calls: Cell<usize>,
--- a/gateway/src/store.rs
+++ b/gateway/src/store.rs
@@ -43,7 +43,7 @@
 pub use laburnumwheel_core::gateway::view::View;
 
 /// Time from one read of the store to the next, and from one proof request to the next: both
-/// together with a lost answer stay below two seconds, the shortest allowed time for a change to
+/// together with a lost response stay below two seconds, the shortest allowed time for a change to
 /// take effect.
 const READ_INTERVAL: Duration = Duration::from_millis(550);
 const PROOF_INTERVAL: Duration = Duration::from_millis(550);
@@ -118,7 +118,7 @@
     #[error("response of an earlier era")]
     Outdated,
     /// The lease has ended, or the entry that was asked for does not exist.
-    #[error("the lease has ended")]
+    #[error("not found, or the lease has ended")]
     NotFound,
     /// The response could not be decoded.
     #[error("malformed response: {0}")]
@@ -211,7 +211,7 @@
         let sent = clock::now();
         let result = read_all(&mut follower).await;
         era::log_oddities(&shared, &follower.eras);
-        shared.metrics.store_call("read", result.is_ok());
+        shared.metrics.count_store_call("read", result.is_ok());
         match result {
             Ok(reading) => {
                 if !reachable {
@@ -419,7 +419,7 @@
             continue;
         }
         let result = with_timeout(announce(entry.clone(), LEASE)).await;
-        shared.metrics.store_call("announce", result.is_ok());
+        shared.metrics.count_store_call("announce", result.is_ok());
         let Ok(lease) = result else {
             tokio::time::sleep(jittered(&shared, RETRY_INTERVAL * 2)).await;
             continue;
@@ -443,7 +443,7 @@
                 return;
             }
             let result = with_timeout(renew(lease)).await;
-            shared.metrics.store_call("renew", result.is_ok());
+            shared.metrics.count_store_call("renew", result.is_ok());
             if result == Err(Error::NotFound) {
                 shared.log(Line::new("lease_ended").with("lease", lease));
                 break;
@@ -456,7 +456,7 @@
 pub async fn withdraw(shared: &Shared, mut withdraw: Box<dyn FnMut(u64) -> Reply<()>>) {
     if let Some(lease) = shared.lease.take() {
         let result = with_timeout(withdraw(lease)).await;
-        shared.metrics.store_call("withdraw", result.is_ok());
+        shared.metrics.count_store_call("withdraw", result.is_ok());
     }
 }
 
