--- a/core/tests/gateway/agreement.rs
+++ b/core/tests/gateway/agreement.rs
@@ -1,8 +1,8 @@
-//! Hundreds of gateways in virtual time: what they agree on, how long they differ, and what that costs.
+//! Agreement of hundreds of gateways on the plan of a service, in virtual time.
 //!
-//! Heartbeats and reports are delivered at once, one in a hundred is lost. Calls are those of an
-//! auction house: chats that last two seconds, and reports whose gaps are now and then longer than a
-//! chat may pause.
+//! The simulation measures how long gateways use different plans and how many bytes they send.
+//! Heartbeats and reports are delivered at once, and one in a hundred is lost. Calls are chats of
+//! two seconds, and reports that pause for longer than a chat may.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -28,15 +28,15 @@
 use crate::support::settings;
 use crate::support::submission;
 
-/// Time between two looks at all gateways.
+/// Time between two samples of all gateways.
 const STEP: Span = Span::millis(50);
-/// Time from one heartbeat to the next, and peers that get it, as the shell has them.
+/// Period of heartbeats and number of peers that get each one, as in the gateway crate.
 const HEARTBEAT: Span = Span::millis(250);
 const FANOUT: usize = 4;
-/// Longest that gateways may go by different plans after a change: a burst lasts a few seconds, and
-/// most of it must find the fleet of one mind.
-const LONGEST: Span = Span::secs(2);
-/// Calls of each kind a second and gateway.
+/// Upper bound on the time in which gateways use different plans after a change. Bursts last a few
+/// seconds, and for most of that time all gateways must use the same plan.
+const MAX_DISAGREEMENT: Span = Span::secs(2);
+/// Calls per second at each gateway, by kind.
 const CHATS: f64 = 0.3;
 const REPORTS: f64 = 2.0;
 
@@ -49,13 +49,13 @@
     events: u32,
 }
 
-struct World {
+struct Simulation {
     now: Time,
     rng: SmallRng,
     gateways: Vec<Gateway>,
     entries: Vec<Entry>,
     by_address: BTreeMap<String, usize>,
-    cut: BTreeSet<usize>,
+    partitioned: BTreeSet<usize>,
     next_report: Vec<Time>,
     calls: Vec<Call>,
     chats: f64,
@@ -68,22 +68,22 @@
     format!("front-{i}")
 }
 
-/// One in twenty is four times as large as the others.
+/// Entry of a gateway; one in twenty has four times the weight of the others.
 fn entry_of(i: usize) -> Entry {
     let weight = if i.is_multiple_of(20) { 500 } else { 120 };
     Entry { weight, ..entry(&name(i)) }
 }
 
-impl World {
-    fn new(gateways: usize, engines: usize, seed: u64) -> World {
+impl Simulation {
+    fn new(gateways: usize, engines: usize, seed: u64) -> Simulation {
         let entries: Vec<Entry> = (0..gateways).map(entry_of).collect();
         let by_address = entries.iter().enumerate().map(|(i, e)| (e.peer_address.clone(), i));
-        let mut world = World {
+        let mut simulation = Simulation {
             now: START,
             rng: SmallRng::seed_from_u64(seed),
             gateways: Vec::new(),
             by_address: by_address.collect(),
-            cut: BTreeSet::new(),
+            partitioned: BTreeSet::new(),
             next_report: vec![START; gateways],
             calls: Vec::new(),
             chats: CHATS,
@@ -92,11 +92,11 @@
             number: 0,
             entries,
         };
-        world.restart();
-        world
+        simulation.restart();
+        simulation
     }
 
-    /// All gateways begin with nothing.
+    /// Restarts all gateways without any state.
     fn restart(&mut self) {
         self.calls.clear();
         let own = |i: usize| Settings { entry: entry_of(i), seed: i as u64, ..settings("x") };
@@ -113,8 +113,8 @@
     }
 
     fn arrives(&mut self, from: usize, to: usize) -> bool {
-        let parted = self.cut.contains(&from) != self.cut.contains(&to);
-        !parted && !self.rng.random_bool(0.01)
+        let separated = self.partitioned.contains(&from) != self.partitioned.contains(&to);
+        !separated && !self.rng.random_bool(0.01)
     }
 
     fn step(&mut self) {
@@ -123,17 +123,17 @@
             self.read_store();
         }
         self.serve();
-        let beats = HEARTBEAT.0 / STEP.0;
-        let phase = (self.now.0 / STEP.0) % beats;
-        for i in (0..self.gateways.len()).filter(|i| *i as u64 % beats == phase) {
-            self.beat(i);
+        let steps = HEARTBEAT.0 / STEP.0;
+        let phase = (self.now.0 / STEP.0) % steps;
+        for i in (0..self.gateways.len()).filter(|i| *i as u64 % steps == phase) {
+            self.send_heartbeat(i);
         }
         for i in 0..self.gateways.len() {
-            self.report(i);
+            self.send_report(i);
         }
     }
 
-    fn beat(&mut self, from: usize) {
+    fn send_heartbeat(&mut self, from: usize) {
         let heartbeat = self.gateways[from].heartbeat(self.now);
         let bytes = postcard::to_stdvec(&heartbeat).unwrap().len();
         for _ in 0..FANOUT {
@@ -145,7 +145,7 @@
         }
     }
 
-    fn report(&mut self, from: usize) {
+    fn send_report(&mut self, from: usize) {
         if self.now < self.next_report[from] {
             return;
         }
@@ -162,7 +162,7 @@
     }
 
     fn serve(&mut self) {
-        self.go_on();
+        self.continue_calls();
         let gateways = self.gateways.len() as f64 * STEP.as_secs_f64();
         for (chat, rate) in [(true, self.chats), (false, REPORTS)] {
             let expected = rate * gateways;
@@ -186,8 +186,9 @@
         }
     }
 
-    /// A chat has an event every 50 ms for two seconds, a report seven, each fiftieth 400 ms later.
-    fn go_on(&mut self) {
+    /// Sends an event of each call: a chat has 40 events, one every 50 ms; a report has seven, of
+    /// which the fourth is delayed until 400 ms after the start.
+    fn continue_calls(&mut self) {
         let now = self.now;
         let mut open = std::mem::take(&mut self.calls);
         for call in &mut open {
@@ -212,88 +213,89 @@
         self.gateways.iter().map(|g| g.plan("engines")).collect()
     }
 
-    /// Share of gateways that do not go by the newest plan, and by how many engines most differ.
+    /// Share of gateways that do not use the newest plan, and the greatest difference of pool
+    /// sizes.
     fn disagreement(&self) -> (f64, usize) {
         let plans = self.plans();
         let Some(newest) = plans.iter().flatten().max_by_key(|p| (p.epoch, p.by)) else {
             return (0.0, 0);
         };
         let same = plans.iter().filter(|p| p.is_some_and(|p| p.epoch == newest.epoch)).count();
-        let lanes = plans.iter().map(|p| p.map_or(0, |p| usize::from(p.pool_size)));
-        let most = lanes.map(|lane| lane.abs_diff(usize::from(newest.pool_size))).max();
-        (1.0 - same as f64 / plans.len() as f64, most.unwrap_or(0))
+        let pool_sizes = plans.iter().map(|p| p.map_or(0, |p| usize::from(p.pool_size)));
+        let greatest = pool_sizes.map(|size| size.abs_diff(usize::from(newest.pool_size))).max();
+        (1.0 - same as f64 / plans.len() as f64, greatest.unwrap_or(0))
     }
 
-    /// Plays for `time`; returns the share of looks at which one in twenty gateways or more went by
-    /// another plan, and the longest such time.
-    fn play(&mut self, time: Span) -> (f64, Span) {
+    /// Runs for `time`; returns the share of samples in which at least one in twenty gateways did
+    /// not use the newest plan, and the longest such time.
+    fn run(&mut self, time: Span) -> (f64, Span) {
         let end = self.now + time;
-        let (mut looks, mut apart, mut longest, mut since) = (0, 0, Span(0), self.now);
+        let (mut samples, mut disagreeing, mut longest, mut since) = (0, 0, Span(0), self.now);
         while self.now < end {
             self.step();
-            looks += 1;
+            samples += 1;
             let (share, _) = self.disagreement();
             if share >= 0.05 {
-                apart += 1;
+                disagreeing += 1;
                 longest = longest.max(self.now.since(since));
             } else {
                 since = self.now;
             }
         }
-        (f64::from(apart) / f64::from(looks), longest)
+        (f64::from(disagreeing) / f64::from(samples), longest)
     }
 
-    fn lane(&self) -> usize {
+    fn pool_size(&self) -> usize {
         let plans = self.plans();
         plans.into_iter().flatten().max_by_key(|p| p.epoch).map_or(0, |p| p.pool_size.into())
     }
 }
 
-fn agree(gateways: usize, engines: usize, seed: u64) {
-    let mut world = World::new(gateways, engines, seed);
-    world.play(Span::secs(4));
-    world.sent_bytes = 0;
-    let (usual, usual_longest) = world.play(Span::secs(4));
-    let bytes = world.sent_bytes as f64 / gateways as f64 / 4.0;
-    let calm = world.lane();
+fn check_agreement(gateways: usize, engines: usize, seed: u64) {
+    let mut simulation = Simulation::new(gateways, engines, seed);
+    simulation.run(Span::secs(4));
+    simulation.sent_bytes = 0;
+    let (usual, usual_longest) = simulation.run(Span::secs(4));
+    let bytes = simulation.sent_bytes as f64 / gateways as f64 / 4.0;
+    let calm = simulation.pool_size();
 
-    world.chats *= 3.0;
-    let (burst, burst_longest) = world.play(Span::secs(5));
-    let grown = world.lane();
-    world.chats /= 3.0;
+    simulation.chats *= 3.0;
+    let (burst, burst_longest) = simulation.run(Span::secs(5));
+    let grown = simulation.pool_size();
+    simulation.chats /= 3.0;
 
-    world.cut = (0..gateways / 3).collect();
-    world.play(Span::secs(4));
-    world.cut.clear();
-    let healed_from = world.now;
-    let (_, healing) = world.play(Span::secs(4));
+    simulation.partitioned = (0..gateways / 3).collect();
+    simulation.run(Span::secs(4));
+    simulation.partitioned.clear();
+    let healed_from = simulation.now;
+    let (_, healing) = simulation.run(Span::secs(4));
 
-    world.restart();
-    world.play(Span::secs(3));
-    let (_, after_restart) = world.play(Span::secs(3));
+    simulation.restart();
+    simulation.run(Span::secs(3));
+    let (_, after_restart) = simulation.run(Span::secs(3));
 
     println!(
-        "{gateways} gateways: lane {calm}, in a burst {grown}; apart {usual:.2} of the time, at most \
-         {usual_longest:?}; in a burst {burst:.2}, {burst_longest:?}; after a cut {healing:?}; after a \
-         restart {after_restart:?}; {bytes:.0} bytes/s each"
+        "{gateways} gateways: pool size {calm}, in a burst {grown}; different plans {usual:.2} of the \
+         time, at most {usual_longest:?}; in a burst {burst:.2}, {burst_longest:?}; after a partition \
+         {healing:?}; after a restart {after_restart:?}; {bytes:.0} bytes/s each"
     );
-    assert!(calm > 0 && grown > calm, "the lane follows its streams: {calm} {grown}");
-    assert!(usual_longest < LONGEST && burst_longest < LONGEST);
-    assert!(healing < LONGEST, "{healing:?} from {healed_from:?}");
-    assert!(after_restart < LONGEST);
-    assert!(world.disagreement().1 <= engines / 8, "{:?}", world.disagreement());
+    assert!(calm > 0 && grown > calm, "the pool size follows the streams: {calm} {grown}");
+    assert!(usual_longest < MAX_DISAGREEMENT && burst_longest < MAX_DISAGREEMENT);
+    assert!(healing < MAX_DISAGREEMENT, "{healing:?} from {healed_from:?}");
+    assert!(after_restart < MAX_DISAGREEMENT);
+    assert!(simulation.disagreement().1 <= engines / 8, "{:?}", simulation.disagreement());
 }
 
-/// Late in a burst each of 300 gateways had an estimate of its own of how many engines to keep for
-/// chats, from none to two thirds of them: what was one gateway's lane was another's place for long
-/// prompts, and chats paused beside these. Each saw a handful of chats a minute, and learnt from those.
+/// Each gateway sees only a few chats a minute. When 300 gateways sized the isolated pool by their
+/// own observations, the sizes ranged from no engine to two thirds of them. One gateway sent long
+/// prompts to engines that another had isolated for chats, and the chats paused.
 #[test]
-fn three_hundred_gateways_mean_the_same_engines() {
-    agree(300, 153, 1);
+fn three_hundred_gateways_agree_on_the_isolated_pool() {
+    check_agreement(300, 153, 1);
 }
 
-/// The same at the size to be designed for.
+/// The same at the largest intended size of a fleet.
 #[test]
-fn four_hundred_and_forty_gateways_mean_the_same_engines() {
-    agree(440, 220, 2);
+fn four_hundred_and_forty_gateways_agree_on_the_isolated_pool() {
+    check_agreement(440, 220, 2);
 }
--- a/core/tests/gateway/budget.rs
+++ b/core/tests/gateway/budget.rs
@@ -1,4 +1,4 @@
-//! The retry budget that all gateways spend together.
+//! The retry budget that all gateways share.
 
 use laburnumwheel_core::gateway::budget::Budget;
 use laburnumwheel_core::gateway::budget::Rules;
@@ -33,14 +33,14 @@
 }
 
 proptest! {
-    /// Replicas fail most calls, gateways restart and forget what they spent, and every one of
-    /// them repeats as often as it may. In no window may all of them together spend more than the
-    /// budget, or a service that is down gets more and more work.
+    /// Most calls fail, gateways restart and lose their counts, and each retries as often as it
+    /// may. In no window may all of them together exceed the budget; otherwise a service that is
+    /// down gets more and more load.
     #[test]
     fn no_window_exceeds_the_budget(steps in steps()) {
         let mut now = Time(100_000_000);
-        let old = Time(0);
-        let mut budgets: Vec<Budget> = (0..GATEWAYS).map(|_| Budget::new(RULES, old)).collect();
+        let long_ago = Time(0);
+        let mut budgets: Vec<Budget> = (0..GATEWAYS).map(|_| Budget::new(RULES, long_ago)).collect();
         let mut calls: Vec<Time> = Vec::new();
         let mut retries: Vec<Time> = Vec::new();
         for step in steps {
@@ -64,43 +64,43 @@
                 times.iter().filter(|t| **t > from && **t <= *end).count() as f64
             };
             let spent = within(&retries, begin);
-            // Calls of the half window before count as well.
+            // The gateways may also count calls of half a window before.
             let counted = within(&calls, begin - Span(RULES.window.0 / 2));
             prop_assert!(spent <= RULES.ratio * counted + RULES.extra, "{spent} of {counted}");
         }
     }
 }
 
-/// A gateway crashes in the middle of an outage, having spent its share, and is started again. It
-/// remembers nothing; with a share at once it would spend it twice in one window.
+/// A gateway spends its share in an outage, crashes and is restarted without its counts. If it got
+/// a share at once, it would spend its share twice in one window.
 #[test]
-fn a_gateway_that_has_just_started_has_no_share() {
-    let began = Time(100_000_000);
-    let mut budget = Budget::new(RULES, began);
-    budget.record_call(began);
+fn a_gateway_has_no_share_in_its_first_window() {
+    let started_at = Time(100_000_000);
+    let mut budget = Budget::new(RULES, started_at);
+    budget.record_call(started_at);
 
-    let at_once = budget.spend_retry(began + Span::secs(1), GATEWAYS);
-    let later = budget.spend_retry(began + Span::secs(11), GATEWAYS);
+    let at_once = budget.spend_retry(started_at + Span::secs(1), GATEWAYS);
+    let later = budget.spend_retry(started_at + Span::secs(11), GATEWAYS);
 
     assert!(!at_once);
     assert!(later);
 }
 
-/// A service is down, and nine gateways repeat as much as they may in one moment.
+/// A service is down, and nine gateways retry as often as they may at one moment.
 #[test]
 fn all_gateways_together_stay_within_the_budget() {
     let now = Time(100_000_000);
     let spent = |calls: u32| {
-        let spend = |_| {
+        let spent_by_one = |_| {
             let mut budget = Budget::new(RULES, Time(0));
             (0..calls).for_each(|_| budget.record_call(now));
             (0..1_000).filter(|_| budget.spend_retry(now, GATEWAYS)).count()
         };
-        (0..GATEWAYS).map(spend).sum::<usize>()
+        (0..GATEWAYS).map(spent_by_one).sum::<usize>()
     };
 
-    let (without, with) = (spent(0), spent(100));
+    let (without_calls, with_calls) = (spent(0), spent(100));
 
-    assert!((36..=58).contains(&without), "{without}");
-    assert!((140..=58 + 180).contains(&with), "{with}");
+    assert!((36..=58).contains(&without_calls), "{without_calls}");
+    assert!((140..=58 + 180).contains(&with_calls), "{with_calls}");
 }
--- a/core/tests/gateway/directory.rs
+++ b/core/tests/gateway/directory.rs
@@ -1,4 +1,4 @@
-//! Which gateways callers are sent to.
+//! Selection of gateways for callers and as readers of the store.
 
 use laburnumwheel_core::gateway::directory::Directory;
 use laburnumwheel_core::gateway::directory::Entry;
@@ -30,30 +30,30 @@
     }
 }
 
-fn answer(directory: &Directory, at: Span, own: Option<&Entry>, domain: &str) -> Vec<String> {
-    let mut answer =
+fn select(directory: &Directory, at: Span, own: Option<&Entry>, domain: &str) -> Vec<String> {
+    let mut addresses =
         directory.select_addresses(START + at, own, domain, &mut SmallRng::seed_from_u64(1));
-    answer.sort();
-    answer
+    addresses.sort();
+    addresses
 }
 
 #[test]
-fn callers_are_sent_to_their_own_domain_if_two_gateways_are_there() {
+fn callers_get_gateways_of_their_own_domain_if_it_has_two() {
     let mut directory = Directory::default();
     let entries = [("a", "mixco"), ("b", "mixco"), ("c", "villa")].map(|(n, d)| in_domain(n, d));
     directory.update(START, entries.to_vec());
 
-    let mixco = answer(&directory, Span(0), None, "mixco");
-    let villa = answer(&directory, Span(0), None, "villa");
+    let mixco = select(&directory, Span(0), None, "mixco");
+    let villa = select(&directory, Span(0), None, "villa");
 
     assert_eq!(mixco, ["a:1", "b:1"]);
     assert_eq!(villa, ["a:1", "b:1", "c:1"]);
 }
 
-/// A host loses its power. Its entry stays in the store until its lease ends; each caller that is
-/// sent there in the meantime loses a second. Heartbeats that stop show it sooner.
+/// A host fails, and its entry stays in the store until the lease ends. Each caller that is sent
+/// there until then loses a second. Missing heartbeats show the failure earlier.
 #[test]
-fn a_gateway_that_falls_silent_gets_no_callers_although_it_is_listed() {
+fn a_gateway_without_heartbeats_gets_no_callers_although_it_is_listed() {
     let mut directory = Directory::default();
     let entries = ["a", "b", "c"].map(entry);
     directory.update(START, entries.to_vec());
@@ -65,13 +65,13 @@
         directory.receive(later, &heartbeat(e, true));
     }
 
-    let sent_to = answer(&directory, Span::secs(2), None, "mixco");
+    let addresses = select(&directory, Span::secs(2), None, "mixco");
 
-    assert_eq!(sent_to, ["b:1", "c:1"]);
+    assert_eq!(addresses, ["b:1", "c:1"]);
 }
 
 #[test]
-fn a_gateway_that_leaves_gets_no_callers_from_its_next_heartbeat_on() {
+fn a_stopping_gateway_gets_no_callers_from_its_next_heartbeat_on() {
     let mut directory = Directory::default();
     let entries = ["a", "b", "c"].map(entry);
     directory.update(START, entries.to_vec());
@@ -81,13 +81,13 @@
 
     directory.receive(START + Span::millis(10), &heartbeat(&entries[0], false));
 
-    assert_eq!(answer(&directory, Span::millis(20), None, "mixco"), ["b:1", "c:1"]);
+    assert_eq!(select(&directory, Span::millis(20), None, "mixco"), ["b:1", "c:1"]);
 }
 
-/// With sixty-five gateways each hears from any other only every few seconds; what others pass on
-/// of it counts as if it had been heard.
+/// With 65 gateways, each receives a heartbeat of any other one only every few seconds. A relayed
+/// demand counts like a heartbeat.
 #[test]
-fn a_gateway_lives_if_others_have_heard_of_it() {
+fn a_gateway_is_live_if_others_relay_its_demand() {
     let mut directory = Directory::default();
     let (a, b) = (entry("a"), entry("b"));
     directory.update(START, vec![a.clone(), b.clone()]);
@@ -102,11 +102,11 @@
 
     directory.receive(START + Span::secs(3), &relayed);
 
-    assert_eq!(answer(&directory, Span::secs(3), None, "mixco"), ["a:1", "b:1"]);
+    assert_eq!(select(&directory, Span::secs(3), None, "mixco"), ["a:1", "b:1"]);
     assert_eq!(directory.sensitive_streams(START + Span::secs(3)), 3);
 }
 
-/// Who reads, as the gateway `own` sees it: the others' addresses, and whether it does itself.
+/// The readers from the view of gateway `own`: addresses of the others, and whether it is one.
 fn readers(all: &[Entry], own: &Entry) -> (Vec<String>, bool) {
     let mut directory = Directory::default();
     let others: Vec<Entry> = all.iter().filter(|e| e.name != own.name).cloned().collect();
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn a_few_gateways_read_the_store_for_all() {
+fn five_of_65_gateways_read_the_store() {
     let all: Vec<Entry> = (0..65).map(|i| entry(&format!("gateway-{i}"))).collect();
 
     let reading = all.iter().filter(|own| readers(&all, own).1).count();
@@ -128,12 +128,14 @@
     assert_eq!(others.len(), 5 - usize::from(is_reader));
 }
 
-/// Some hosts have links of 10 Mbit/s and others of 200. If one of the narrow reads the store for all,
-/// its reads take longer than their proofs are worth, and the others read the store themselves.
+/// Some hosts have links of 10 Mbit/s, others of 200 Mbit/s. If a gateway with a slow link reads
+/// the store for all, its proofs are too old when they arrive, and the others read the store
+/// themselves.
 #[test]
-fn gateways_of_the_greatest_weight_read_for_all() {
-    let wide = |i: usize| i % 10 == 3;
-    let gateway = |i| Entry { weight: if wide(i) { 500 } else { 120 }, ..entry(&format!("g-{i}")) };
+fn gateways_of_the_greatest_weight_read_the_store() {
+    let is_fast = |i: usize| i % 10 == 3;
+    let gateway =
+        |i| Entry { weight: if is_fast(i) { 500 } else { 120 }, ..entry(&format!("g-{i}")) };
     let all: Vec<Entry> = (0..65).map(gateway).collect();
 
     let reading: Vec<&Entry> = all.iter().filter(|own| readers(&all, own).1).collect();
@@ -143,39 +145,40 @@
     let mut addresses: Vec<String> = reading.iter().map(|e| e.peer_address.clone()).collect();
     addresses.sort();
     for own in all.iter().filter(|e| e.weight < 500) {
-        let mut seen = readers(&all, own).0;
-        seen.sort();
-        assert_eq!(seen, addresses);
+        let mut known = readers(&all, own).0;
+        known.sort();
+        assert_eq!(known, addresses);
     }
 }
 
-/// A host loses its power, and its entry outlives it. A gateway that has just started finds the entry
-/// and has never heard a heartbeat from there; it must not send callers there until the lease ends.
+/// A host fails, and its entry stays listed until the lease ends. A gateway that has just started
+/// reads the entry and never receives a heartbeat from there. It must soon stop sending callers
+/// there.
 #[test]
-fn a_gateway_that_was_never_heard_of_gets_callers_only_for_a_moment() {
+fn a_listed_gateway_without_any_heartbeat_gets_callers_for_two_seconds_at_most() {
     let mut directory = Directory::default();
     let entries = ["a", "b", "c"].map(entry);
     directory.update(START, entries.to_vec());
-    let at_first = answer(&directory, Span(0), None, "mixco");
+    let at_first = select(&directory, Span(0), None, "mixco");
     let later = START + Span::millis(1_900);
     for e in &entries[1..] {
         directory.receive(later, &heartbeat(e, true));
     }
     directory.update(later, entries.to_vec());
 
-    let sent_to = answer(&directory, Span::millis(1_900), None, "mixco");
+    let addresses = select(&directory, Span::millis(1_900), None, "mixco");
 
     assert_eq!(at_first, ["a:1", "b:1", "c:1"]);
-    assert_eq!(sent_to, ["b:1", "c:1"]);
+    assert_eq!(addresses, ["b:1", "c:1"]);
 }
 
-/// A gateway that hears nobody may be cut off itself. What the store lists is then all that it has.
+/// A gateway that receives no heartbeats may itself be partitioned, so the list is all it can use.
 #[test]
-fn a_gateway_that_hears_nobody_goes_by_the_list() {
+fn a_gateway_without_live_peers_uses_the_list() {
     let mut directory = Directory::default();
     let entries = ["a", "b"].map(entry);
     directory.update(START, entries.to_vec());
     directory.update(START + Span::secs(3), entries.to_vec());
 
-    assert_eq!(answer(&directory, Span::secs(3), None, "mixco"), ["a:1", "b:1"]);
+    assert_eq!(select(&directory, Span::secs(3), None, "mixco"), ["a:1", "b:1"]);
 }
--- a/core/tests/gateway/events.rs
+++ b/core/tests/gateway/events.rs
@@ -1,14 +1,13 @@
-//! Splitting a stream into whole events.
+//! Splitting a stream into complete events.
 
 use laburnumwheel_core::gateway::events::Splitter;
 use proptest::prop_assert_eq;
 use proptest::proptest;
 
 proptest! {
-    /// However a stream is cut into pieces on its way, the same whole events come out, and the
-    /// last id is that of the last whole one.
+    /// The same complete events are returned, whatever the pieces that the stream arrives in.
     #[test]
-    fn pieces_do_not_matter(
+    fn events_do_not_depend_on_how_the_stream_is_cut(
         count in 1usize..12,
         cuts in proptest::collection::vec(1usize..40, 1..40),
         crlf: bool,
@@ -18,23 +17,23 @@
             (1..=count).map(|i| format!("id: {i}{line}data: token{line}{line}")).collect();
         let bytes = events.as_bytes();
         let mut splitter = Splitter::default();
-        let mut whole = Vec::new();
+        let mut complete = Vec::new();
         let mut at = 0;
         for cut in cuts.iter().cycle().take(400) {
             let end = (at + cut).min(bytes.len());
-            whole.extend_from_slice(&splitter.push(&bytes[at..end]).unwrap());
+            complete.extend_from_slice(&splitter.push(&bytes[at..end]).unwrap());
             at = end;
         }
-        prop_assert_eq!(&whole[..], &bytes[..at]);
+        prop_assert_eq!(&complete[..], &bytes[..at]);
         prop_assert_eq!(splitter.pending_len(), 0);
         prop_assert_eq!(splitter.count(), count as u64);
     }
 }
 
-/// A replica dies in the middle of an event, and another goes on behind the last whole one. The
-/// caller must never see the torn half, nor the event twice.
+/// A replica crashes in the middle of an event, and another one continues after the last complete
+/// event. The caller must receive neither the partial event nor any event twice.
 #[test]
-fn a_torn_event_is_held_back_and_forgotten() {
+fn a_partial_event_is_held_back_and_discarded() {
     let mut splitter = Splitter::default();
     let first = splitter.push(b"id: 1\ndata: a\n\nid: 2\nda").unwrap();
 
--- a/core/tests/gateway/main.rs
+++ b/core/tests/gateway/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the gateway's decisions, in virtual time and without a network.
+//! Tests of the gateway module, in virtual time and without a network.
 
 mod agreement;
 mod autoscaler;
@@ -10,6 +10,7 @@
 mod freshness;
 mod leader;
 mod loads;
+mod malformed;
 mod occupancy;
 mod outage;
 mod plan;
@@ -17,10 +18,9 @@
 mod prefill;
 mod quarantine;
 mod restart;
-mod returns;
+mod rollback;
 mod routes;
 mod stop;
-mod strays;
 mod support;
 mod usage;
 mod wall;
--- a/core/tests/gateway/strays.rs
+++ b/core/tests/gateway/malformed.rs
@@ -1,4 +1,4 @@
-//! What peers and replicas say in numbers that make no sense.
+//! Malformed or extreme values in messages of peers and replicas.
 
 use laburnumwheel_core::gateway::Gateway;
 use laburnumwheel_core::gateway::events::Splitter;
@@ -32,15 +32,16 @@
     picked.or(grant.last_pick).map(|pick| (pick.id, pick.claim.expected_ms))
 }
 
-/// A number of any bits, and often one that is none.
+/// A number with any bits, in many cases not a number.
 fn any_number() -> impl Strategy<Value = f32> {
     proptest::prop_oneof![any::<u32>().prop_map(f32::from_bits), Just(f32::NAN)]
 }
 
 proptest! {
-    /// All calls of a gateway end: it adds up what a replica says of its load, and overflows.
+    /// A replica may report any load. Adding up the report must not overflow, which would panic and
+    /// end all calls of the gateway.
     #[test]
-    fn any_load_may_be_told(running: u32, waiting: u32, slots: u32) {
+    fn any_reported_load_is_accepted(running: u32, waiting: u32, slots: u32) {
         let mut gateway = gateway(2);
         let call = submission("chat", &[(1, 300)]);
         let mut grant = gateway.admit(START, &call).unwrap();
@@ -52,68 +53,68 @@
         prop_assert!(gateway.heartbeat(START).loads.len() == 1);
     }
 
-    /// One peer's update or snapshot that is no number makes every engine's cost none, and no call
-    /// is refused or spread any more.
+    /// A peer's update or snapshot may contain NaN. It must not make the cost of every engine NaN,
+    /// or no call would be refused or balanced any more.
     #[test]
-    fn numbers_that_are_none_change_no_choice(
-        told in any_number(),
+    fn invalid_numbers_do_not_affect_the_choice(
+        sent in any_number(),
         calls: u16,
-        unread in any_number(),
+        pending in any_number(),
         interval in any_number(),
     ) {
         let mut gateway = gateway(3);
         gateway.snapshots(START, &[engine(0)]);
-        let update = Update { engine: engine(0), call: 1, change: Change::Sent(told) };
+        let update = Update { engine: engine(0), call: 1, change: Change::Sent(sent) };
         gateway.record_updates(START, &[update]);
-        let kept = gateway.snapshots(START + Span::secs(2), &[engine(0)]);
-        let wild =
-            Snapshot { engine: engine(1), calls, pending_prefill_ms: unread, interval_ms: interval };
+        let recorded = gateway.snapshots(START + Span::secs(2), &[engine(0)]);
+        let malformed =
+            Snapshot { engine: engine(1), calls, pending_prefill_ms: pending, interval_ms: interval };
 
-        let by_kept = chosen(&mut gateway, &kept);
-        let by_wild = chosen(&mut gateway, &[wild]);
+        let by_recorded = chosen(&mut gateway, &recorded);
+        let by_malformed = chosen(&mut gateway, &[malformed]);
 
-        prop_assert!(kept.iter().all(|s| s.pending_prefill_ms.is_finite() && s.pending_prefill_ms >= 0.0));
-        prop_assert!(by_kept.is_some_and(|(_, ms)| ms.is_finite() && ms >= 0.0));
-        prop_assert!(by_wild.is_some_and(|(_, ms)| ms.is_finite() && ms >= 0.0));
+        prop_assert!(recorded.iter().all(|s| s.pending_prefill_ms.is_finite() && s.pending_prefill_ms >= 0.0));
+        prop_assert!(by_recorded.is_some_and(|(_, ms)| ms.is_finite() && ms >= 0.0));
+        prop_assert!(by_malformed.is_some_and(|(_, ms)| ms.is_finite() && ms >= 0.0));
     }
 
-    /// A stream of any bytes: what comes out whole, and what is held back, is what went in.
+    /// For any stream, the events returned and the bytes held back together are the bytes received.
     #[test]
     fn any_stream_is_split_without_loss(chunks in proptest::collection::vec(
         proptest::collection::vec(
             proptest::prop_oneof![any::<u8>(), Just(b'\n')], 0..60), 0..20))
     {
         let mut splitter = Splitter::default();
-        let mut whole = Vec::new();
+        let mut events = Vec::new();
 
         for chunk in &chunks {
-            whole.extend_from_slice(&splitter.push(chunk).unwrap());
+            events.extend_from_slice(&splitter.push(chunk).unwrap());
         }
 
         let sent = chunks.concat();
-        prop_assert_eq!(&whole[..], &sent[..whole.len()]);
-        prop_assert_eq!(whole.len() + splitter.pending_len(), sent.len());
-        prop_assert!(whole.is_empty() || whole.ends_with(b"\n"));
+        prop_assert_eq!(&events[..], &sent[..events.len()]);
+        prop_assert_eq!(events.len() + splitter.pending_len(), sent.len());
+        prop_assert!(events.is_empty() || events.ends_with(b"\n"));
     }
 }
 
-/// A replica sends an event that never ends. Held back for good it would fill the host's memory;
-/// the stream is given up at a mebibyte.
+/// A replica sends an event that never ends. The stream fails at 1 MiB, or the event would fill the
+/// memory of the host.
 #[test]
-fn an_event_without_an_end_is_given_up() {
+fn an_event_without_an_end_is_an_error() {
     let mut splitter = Splitter::default();
     let chunk = [b'x'; 65_536];
 
-    let taken = (0..64).take_while(|_| splitter.push(&chunk).is_ok()).count();
+    let accepted = (0..64).take_while(|_| splitter.push(&chunk).is_ok()).count();
 
-    assert_eq!(taken, 16);
+    assert_eq!(accepted, 16);
     assert!(splitter.pending_len() <= (1 << 20) + chunk.len());
 }
 
-/// A peer asks after engines that don't exist, a thousand in each datagram. An occupancy for each of
-/// them would fill the memory of every owner.
+/// A peer queries engines that do not exist, a thousand in each datagram. An occupancy for each of
+/// them would fill the memory of the owner.
 #[test]
-fn inquiries_after_unknown_engines_leave_nothing_behind() {
+fn queries_of_unknown_engines_create_no_occupancy() {
     let mut gateway = gateway(1);
     let unknown: Vec<Digest> = (0..1_000).map(Digest).collect();
 
--- a/core/tests/gateway/outage.rs
+++ b/core/tests/gateway/outage.rs
@@ -1,4 +1,4 @@
-//! Which missing entries count as lapsed in an outage of the store.
+//! Missing entries of live replicas after an outage of the store.
 
 use laburnumwheel_core::gateway::Gateway;
 use laburnumwheel_core::gateway::directory::Heartbeat;
@@ -11,14 +11,14 @@
 use crate::support::gateway;
 use crate::support::listing;
 
-/// Time from a gateway's read of the store to its being taken in, over a link that is full.
-const READ: Span = Span::millis(950);
+/// Time from sending a read of the store to receiving its result over a saturated link.
+const READ_TIME: Span = Span::millis(950);
 
 fn at(ms: u64) -> Time {
     START + Span::millis(ms)
 }
 
-/// A heartbeat of a gateway that read the store `age` before it sent it.
+/// A heartbeat of a gateway whose read of the store is `age` old.
 fn heartbeat(age: Span) -> Heartbeat {
     Heartbeat {
         entry: entry("two"),
@@ -32,86 +32,86 @@
     }
 }
 
-/// Takes in what a read that was sent at `sent` and answered after `took` found of `replicas`;
-/// returns those that are used although they were not found.
+/// Applies a read that was sent at `sent`, received after `took` and found `replicas`; returns the
+/// replicas that are retained although they are missing.
 fn read(gateway: &mut Gateway, sent: Time, took: Span, replicas: &[&str]) -> Vec<String> {
     gateway.record_read(sent, None);
     let found = replicas.iter().map(|id| listing(id)).collect();
     gateway.update_lists(sent, sent + took, found, vec![entry("one"), entry("two")]).retained
 }
 
-/// Callers are refused for want of replicas after an outage of four seconds, although all live.
-/// Links are full, so the second read, sent 1.5 s after the store is back, is taken in at 2.45 s.
-/// It could not find what was written at 2 s, yet it is judged by the moment when it came.
+/// After an outage of 4 s all replicas live. Links are saturated, so the second read is sent 1.5 s
+/// after the end of the outage and received 2.45 s after it. It cannot find entries that were
+/// written after 2 s, so it must not close replicas by the time at which it was received.
 #[test]
-fn a_read_that_is_older_than_the_return_of_entries_closes_nothing() {
+fn a_read_sent_before_entries_are_written_again_closes_nothing() {
     let mut gateway = gateway(2);
-    read(&mut gateway, at(4_000), READ, &[]);
+    read(&mut gateway, at(4_000), READ_TIME, &[]);
 
-    let kept = read(&mut gateway, at(5_500), READ, &[]);
+    let retained = read(&mut gateway, at(5_500), READ_TIME, &[]);
 
-    assert_eq!(kept, ["engine-0", "engine-1"]);
+    assert_eq!(retained, ["engine-0", "engine-1"]);
 }
 
-/// The same with the first read in several parts over a link that is full: it takes longer than
-/// entries are kept, counted from when it was sent, so the whole fleet is closed by it.
+/// The first read after an outage comes in several parts over a saturated link. It takes longer
+/// than missing entries are retained, and must still not close the whole fleet.
 #[test]
-fn the_first_read_after_an_outage_closes_nothing_however_long_it_takes() {
+fn a_slow_first_read_after_an_outage_closes_nothing() {
     let mut gateway = gateway(2);
 
-    let kept = read(&mut gateway, at(4_000), Span::millis(2_300), &[]);
+    let retained = read(&mut gateway, at(4_000), Span::millis(2_300), &[]);
 
-    assert_eq!(kept, ["engine-0", "engine-1"]);
+    assert_eq!(retained, ["engine-0", "engine-1"]);
 }
 
-/// The store hangs for 3.3 s, and three of four leases lapse. A read that was sent 0.85 s before
-/// its end is answered at its end. Counted from call to call the outage seems to last 2.45 s,
-/// which is taken for none, and replicas that live are closed.
+/// The store hangs for 3.3 s, and three of four leases expire. A read that was sent 0.85 s before
+/// the end is answered at the end. Counted until that read was sent, the outage would last 2.45 s,
+/// too short to be detected, and live replicas would be closed.
 #[test]
-fn an_outage_lasts_until_an_answer_comes_not_until_its_call_is_sent() {
+fn an_outage_lasts_until_a_reply_is_received() {
     let mut gateway = gateway(2);
 
-    let kept = read(&mut gateway, at(2_450), Span::millis(850), &[]);
+    let retained = read(&mut gateway, at(2_450), Span::millis(850), &[]);
 
-    assert_eq!(kept, ["engine-0", "engine-1"]);
+    assert_eq!(retained, ["engine-0", "engine-1"]);
 }
 
-/// The store is out from 0.1 s to 3.4 s. A heartbeat that was sent as it went, with a fresh proof,
-/// waits 0.9 s in this gateway's full link. Its proof seems younger by the wait, the outage
-/// shorter, and replicas whose leases have lapsed are closed although they live.
+/// The store is down from 0.1 s to 3.4 s. A heartbeat with a recent proof, sent when the outage
+/// began, waits 0.9 s in this gateway's saturated link. If its proof counted, the outage would seem
+/// shorter by the wait, and live replicas with expired leases would be closed.
 #[test]
-fn a_heartbeat_that_waited_in_a_link_hides_no_outage() {
+fn a_delayed_heartbeat_hides_no_outage() {
     let mut gateway = gateway(2);
     gateway.receive(at(1_000), &heartbeat(Span(0)));
 
-    let kept = read(&mut gateway, at(3_450), Span::millis(10), &[]);
+    let retained = read(&mut gateway, at(3_450), Span::millis(10), &[]);
 
-    assert_eq!(kept, ["engine-0", "engine-1"]);
+    assert_eq!(retained, ["engine-0", "engine-1"]);
 }
 
-/// Callers get answers from a replica that left seconds before. The gateway was frozen for 3 s;
-/// what peers sent meanwhile is handled when it wakes, all of it by the clock of that moment. The
-/// first datagram looks like the store's first answer for 3 s, though peers read it all along.
+/// A gateway is paused for 3 s and then handles the peers' heartbeats of that time at once. They
+/// must not look like the first reply after an outage of the store, or calls go to a replica that
+/// left seconds before.
 #[test]
-fn a_gateway_that_was_frozen_does_not_take_that_for_an_outage() {
+fn a_paused_gateway_does_not_detect_an_outage() {
     let mut gateway = gateway(2);
     for _ in 0..12 {
         gateway.receive(at(3_000), &heartbeat(Span::millis(200)));
     }
 
-    let kept = read(&mut gateway, at(3_050), Span::millis(10), &["engine-1"]);
+    let retained = read(&mut gateway, at(3_050), Span::millis(10), &["engine-1"]);
 
-    assert!(kept.is_empty(), "{kept:?}");
+    assert!(retained.is_empty(), "{retained:?}");
 }
 
 /// A replica leaves during an outage, and nothing else changes for a long time. Gateways that do
-/// not read the store are told "nothing has changed" from then on, which closes nothing: they send
-/// calls to the replica until some other entry changes, not for the 2.2 s that are meant.
+/// not read the store themselves only get proofs that nothing has changed. These have to close the
+/// replica after 2.2 s, or calls are sent there until any other entry changes.
 #[test]
-fn a_missing_entry_that_was_kept_is_closed_in_time_although_nothing_changes() {
+fn a_retained_replica_is_closed_in_time_although_nothing_changes() {
     let mut gateway = gateway(2);
-    let back = at(4_000);
-    read(&mut gateway, back, Span::millis(10), &["engine-1"]);
+    let outage_end = at(4_000);
+    read(&mut gateway, outage_end, Span::millis(10), &["engine-1"]);
     for ms in (4_500..=9_000).step_by(500) {
         gateway.confirm_view(at(ms));
     }
@@ -121,11 +121,10 @@
     assert_eq!(usable, 1);
 }
 
-/// After an outage two of three replicas come back, and the third had left. Gateways that do not
-/// read the store are told "nothing has changed" for as long as nothing does; that is when they
-/// have to close it, and not before it could have come back.
+/// After an outage two of three replicas are listed again, and the third has left. Proofs that
+/// nothing has changed close it once it had the time to be listed again, not before.
 #[test]
-fn a_kept_entry_is_closed_by_a_proof_that_is_young_enough() {
+fn a_retained_replica_is_closed_by_a_recent_enough_proof() {
     let mut gateway = gateway(3);
     read(&mut gateway, at(4_000), Span::millis(10), &["engine-1"]);
     read(&mut gateway, at(5_000), Span::millis(10), &["engine-1", "engine-2"]);
@@ -139,22 +138,23 @@
     assert_eq!(late, ["engine-0"]);
 }
 
-/// The store is out twice. What was noted of the first outage must not end the grace of the second.
+/// Two outages follow one another. The state left from the first must not shorten the time in which
+/// entries are retained after the second.
 #[test]
 fn a_second_outage_counts_like_the_first() {
     let mut gateway = gateway(2);
     read(&mut gateway, at(4_000), Span::millis(10), &[]);
 
-    let kept = read(&mut gateway, at(9_000), Span::millis(10), &[]);
+    let retained = read(&mut gateway, at(9_000), Span::millis(10), &[]);
 
-    assert_eq!(kept, ["engine-0", "engine-1"]);
+    assert_eq!(retained, ["engine-0", "engine-1"]);
 }
 
-/// Callers of one service are refused for want of replicas after an outage of three seconds,
-/// although all live. Its replicas were started together, so their leases lapsed together; those of
-/// the other services did not, and more entries are listed than missing.
+/// The replicas of one service were started together, so their leases expire together in an outage
+/// of 3 s. Those of other services do not, so that more entries are listed than missing overall.
+/// The service must not lose all of its replicas.
 #[test]
-fn a_service_whose_entries_all_lapsed_is_not_left_without_replicas() {
+fn a_service_whose_entries_all_expired_keeps_its_replicas() {
     let mut gateway = gateway(4);
     let mut both = crate::support::listings(4);
     for id in ["bid-0", "bid-1"] {
@@ -169,11 +169,11 @@
     assert_eq!(gateway.fleet().usable(at(3_110), "bids"), 2);
 }
 
-/// The store goes for two seconds, is there for 0.3 s and goes again. Gateways have an answer in
-/// between, few replicas renew in so short a time, and all leases lapse: no gap of answers is as
-/// long as an outage, and the first list after the second one empties the fleet.
+/// The store is down for 2 s, up for 0.3 s and down again. Gateways get a reply in between, but few
+/// replicas renew their leases in so short a time, so all leases expire. No time without a reply is
+/// long enough for an outage, and the next list must still not close the whole fleet.
 #[test]
-fn two_outages_in_a_row_are_as_long_as_both() {
+fn two_short_outages_in_a_row_count_as_one() {
     let mut gateway = gateway(4);
     read(
         &mut gateway,
@@ -182,7 +182,7 @@
         &["engine-0", "engine-1", "engine-2", "engine-3"],
     );
 
-    let kept = read(&mut gateway, at(4_400), Span::millis(10), &[]);
+    let retained = read(&mut gateway, at(4_400), Span::millis(10), &[]);
 
-    assert_eq!(kept.len(), 4);
+    assert_eq!(retained.len(), 4);
 }
--- a/core/tests/gateway/routes.rs
+++ b/core/tests/gateway/routes.rs
@@ -1,4 +1,4 @@
-//! Routes, keys, ranks and versions.
+//! Routes, keys, ranks and versions of the configuration.
 
 use std::sync::Arc;
 
@@ -29,10 +29,10 @@
     assert!(config.route("other.example", "/report/x").is_none());
 }
 
-/// A gateway that has just started knows no configuration. A caller that hears "no such route"
-/// then gives up for good; one that hears "not now" comes back.
+/// A gateway that has just started has no configuration. A caller that is told "no such route" does
+/// not retry, so the refusal must tell it to retry.
 #[test]
-fn without_a_configuration_a_call_is_sent_away_for_a_moment() {
+fn without_a_configuration_a_call_is_refused_to_be_retried() {
     let mut gateway = Gateway::new(settings("one"), START);
 
     let refusal = gateway.admit(START, &submission("report", &[])).unwrap_err();
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn an_unknown_key_is_refused_and_a_known_one_names_its_organisation() {
+fn an_unknown_key_is_refused_and_a_known_one_gives_the_organisation() {
     let mut gateway = gateway(3);
     let mut unknown = submission("report", &[]);
     unknown.key = Some(bytes::Bytes::from_static(b"other"));
@@ -56,24 +56,24 @@
     assert_eq!((grant.rank.route, grant.rank.organisation), (2, 1));
 }
 
-/// A read of the store that was slow arrives after a newer one. Taking it would bring back a
-/// revoked key; the version shows that it is old.
+/// A slow read of the store arrives after a newer one. Its configuration must be ignored by its
+/// version, because it may contain a key that was revoked since.
 #[test]
 fn an_older_version_is_never_taken() {
     let mut gateway = gateway(3);
     gateway.record_read(START + Span::secs(1), Some(Arc::new(config(5))));
 
-    let newer = gateway.record_read(START + Span::secs(2), Some(Arc::new(config(4))));
+    let is_new = gateway.record_read(START + Span::secs(2), Some(Arc::new(config(4))));
 
-    assert!(!newer);
+    assert!(!is_new);
     assert_eq!(gateway.version(), 5);
     assert_eq!(gateway.proved_at(), Some(START + Span::secs(1)));
 }
 
-/// A call is admitted, waits for a connection, and meanwhile its route is moved to another
-/// service. Sent on as admitted, it would run where the configuration no longer allows it.
+/// While an admitted call waits for a connection, its route is moved to another service. The call
+/// must go to the new service, because the configuration no longer allows the old one.
 #[test]
-fn a_call_that_waited_follows_the_configuration_in_force() {
+fn a_call_that_waited_uses_the_current_configuration() {
     let mut gateway = gateway(3);
     let call = submission("report", &[]);
     let mut grant = gateway.admit(START, &call).unwrap();
--- a/core/tests/gateway/stop.rs
+++ b/core/tests/gateway/stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop: what a gateway that leaves still takes.
+//! Graceful stop: which calls a stopping gateway still serves.
 
 use laburnumwheel_core::gateway::refusal::Reason;
 use laburnumwheel_core::gateway::submission::Submission;
@@ -8,16 +8,16 @@
 use crate::support::gateway;
 use crate::support::submission;
 
-const LEARNED: Span = Span::millis(2_700);
+const ANNOUNCEMENT: Span = Span::millis(2_700);
 const GRACE: Span = Span::millis(7_400);
 
-/// A bidder's chat was cut in the middle of an answer during a planned stop. Its caller had an old
-/// answer of the directory and asked 3.5 s after the signal; the gateway took the call although
-/// its time limit lay far behind the end of the grace time, and the process ended under it.
+/// A caller with an outdated list of gateways sends a chat 3.5 s after the stop began. The chat's
+/// deadline is far behind the end of the grace period, so its answer would be cut off in the middle
+/// when the process ends.
 #[test]
 fn a_long_call_that_comes_late_in_a_stop_is_sent_elsewhere() {
     let mut gateway = gateway(2);
-    gateway.stop(START, LEARNED, GRACE);
+    gateway.stop(START, ANNOUNCEMENT, GRACE);
     let late = START + Span::millis(3_500);
 
     let refusal = gateway.admit(late, &submission("chat", &[(1, 500)])).unwrap_err();
@@ -28,9 +28,9 @@
 }
 
 #[test]
-fn callers_who_can_not_know_of_a_stop_yet_are_served() {
+fn callers_that_cannot_know_of_a_stop_yet_are_served() {
     let mut gateway = gateway(2);
-    gateway.stop(START, LEARNED, GRACE);
+    gateway.stop(START, ANNOUNCEMENT, GRACE);
 
     let grant = gateway.admit(START + Span::millis(2_600), &submission("chat", &[(1, 500)]));
 
@@ -38,28 +38,28 @@
 }
 
 #[test]
-fn a_call_that_fits_into_what_is_left_of_a_stop_is_served() {
+fn a_call_that_ends_within_the_grace_period_is_served() {
     let mut gateway = gateway(2);
-    gateway.stop(START, LEARNED, GRACE);
+    gateway.stop(START, ANNOUNCEMENT, GRACE);
 
     let grant = gateway.admit(START + Span::millis(3_500), &submission("draft", &[(1, 500)]));
 
     assert!(grant.is_ok());
 }
 
-/// A chat came early in a stop, and its body late, or its first replica refused it late. Sent on
-/// now it would be cut off with the process.
+/// A chat is admitted early in a stop, but its body arrives late or its first replica refuses it
+/// late. An attempt that began then would be cut off when the process ends.
 #[test]
-fn a_long_call_that_was_admitted_early_does_not_begin_late_in_a_stop() {
+fn a_long_call_admitted_early_does_not_begin_late_in_a_stop() {
     let mut gateway = gateway(2);
-    gateway.stop(START, LEARNED, GRACE);
+    gateway.stop(START, ANNOUNCEMENT, GRACE);
     let chat = Submission { patience: Some(Span::secs(15)), ..submission("chat", &[(1, 500)]) };
     let grant = gateway.admit(START + Span::millis(2_600), &chat).unwrap();
 
-    let soon = gateway.may_begin(START + LEARNED, &grant);
+    let early = gateway.may_begin(START + ANNOUNCEMENT, &grant);
     let late = gateway.may_begin(START + Span::millis(5_000), &grant);
 
-    assert!(soon.is_ok());
+    assert!(early.is_ok());
     let refusal = late.unwrap_err();
     assert_eq!(refusal.reason, Reason::Stopping);
     assert!(refusal.not_run);
--- a/core/tests/gateway/support.rs
+++ b/core/tests/gateway/support.rs
@@ -1,4 +1,4 @@
-//! Fixtures of the gateway's tests.
+//! Fixtures of the gateway tests.
 #![allow(dead_code)]
 
 use std::sync::Arc;
@@ -46,7 +46,7 @@
     }
 }
 
-/// Long reports, catalogue drafts and chats, as the auction house sends them.
+/// Route for chats, catalogue drafts or, with any other name, long reports.
 pub fn route(name: &str) -> Route {
     let (priority, objective, pause, timeout) = match name {
         "chat" => (0, 200, 150, 15_000),
@@ -96,7 +96,7 @@
     (0..count).map(|i| listing(&format!("engine-{i}"))).collect()
 }
 
-/// A gateway that knows a configuration and `engines` engines at [`START`].
+/// A gateway with a configuration and `engines` engines, both read at [`START`].
 pub fn gateway(engines: usize) -> Gateway {
     let mut gateway = Gateway::new(settings("one"), START);
     gateway.record_read(START, Some(Arc::new(config(1))));
@@ -104,7 +104,7 @@
     gateway
 }
 
-/// A call of a route whose prompt has these parts.
+/// A submitted call of a route. `parts` holds the id and length of each part of its prompt.
 pub fn submission(route: &str, parts: &[(u64, u32)]) -> Submission {
     Submission {
         id: Bytes::from_static(b"call-1"),
