--- a/gateway/src/call.rs
+++ b/gateway/src/call.rs
@@ -241,9 +241,9 @@
                 .await
             {
                 Ok((head, relay)) => return forward(head, Payload::stream(relay.into_stream())),
-                Err((back, e, failure)) => {
-                    call = back;
-                    recorder = e;
+                Err((returned_call, returned_recorder, failure)) => {
+                    call = returned_call;
+                    recorder = returned_recorder;
                     failure
                 }
             },
--- a/gateway/src/channel.rs
+++ b/gateway/src/channel.rs
@@ -2,8 +2,8 @@
 //!
 //! A call that is not idempotent and goes to a plain service always gets a new connection: if the
 //! replica had just closed a pooled one, it would be unknown whether the call ran. Idempotent calls
-//! and streams of engines use pooled connections, with which six gateways before nine engines open
-//! two fifths fewer.
+//! and streams of engines use pooled connections; with these, six gateways open two fifths fewer
+//! connections to nine engines.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
--- a/gateway/src/flaw.rs
+++ b/gateway/src/flaw.rs
@@ -78,7 +78,7 @@
 }
 
 impl Tracker {
-    /// Replaces the tracked flaws by those of a successful read; returns the changes to log.
+    /// Replaces the tracked flaws with those of a successful read; returns the changes to log.
     pub fn update(&mut self, found: &[Flaw]) -> Changes {
         let mut now: BTreeMap<(Subject, String), Kind> =
             found.iter().map(|f| ((f.subject, f.key.clone()), f.kind)).collect();
--- a/gateway/src/server.rs
+++ b/gateway/src/server.rs
@@ -135,7 +135,7 @@
     let _ = stream.peek(&mut [0; 1]).await;
 }
 
-/// Returns the time until the connection has been idle for too long.
+/// Returns the time until the connection has been idle for too long; the whole limit during a call.
 fn remaining_idle(shared: &Shared, activity: &Activity) -> Duration {
     let gateway = shared.gateway.borrow();
     let limits = gateway.config().map_or_else(Limits::default, |c| c.limits);
--- a/gateway/tests/support/mod.rs
+++ b/gateway/tests/support/mod.rs
@@ -76,7 +76,7 @@
     WriteAndClose(String),
     /// Writes the text after a delay.
     WriteLater(String, Duration),
-    /// Writes the text and closes the connection after a delay.
+    /// Writes the text at once, and closes the connection after a delay.
     WriteAndCloseLater(String, Duration),
     /// Never responds.
     Silent,
