--- a/core/tests/gateway/leader.rs
+++ b/core/tests/gateway/leader.rs
@@ -1,4 +1,8 @@
-//! The election's promises in a model of gateways, store, platform and network.
+//! Invariants of the election, checked in a model of gateways, store, platform and network.
+//!
+//! Tokens of calls at the platform never decrease or repeat, and a former leader keeps the
+//! cooldown. Each test of a model without one of the safeguards verifies that the violation is
+//! detected.
 
 mod model;
 
@@ -13,57 +17,59 @@
 use laburnumwheel_core::time::Time;
 
 use self::model::ALL;
-use self::model::Guards;
-use self::model::LONGEST_FLIGHT;
+use self::model::MAX_DELAY;
 use self::model::Model;
+use self::model::Safeguards;
 use self::model::TIMING;
 use self::model::Violation;
 
-/// Seeds played by the suite; more by hand with this variable.
+/// Number of seeds of the model with all safeguards.
 const SEEDS: u64 = 600;
+/// Environment variable that overrides [`SEEDS`].
 const SEEDS_VARIABLE: &str = "LABURNUMWHEEL_MODEL_SEEDS";
-/// Seeds in which a model without one of its guards must break a promise.
-const MUTANT_SEEDS: u64 = 6_000;
+/// Number of seeds within which a model without one of the safeguards must have a violation.
+const VIOLATION_SEEDS: u64 = 6_000;
 
-/// The first seed below `seeds` that breaks a promise of safety.
-fn first_violation(seeds: u64, guards: Guards) -> Option<(u64, Violation)> {
+/// The first seed below `seeds` with a violation other than a missing leader.
+fn first_violation(seeds: u64, safeguards: Safeguards) -> Option<(u64, Violation)> {
     let unsafe_run = |seed| {
-        let violation = Model::new(seed, guards).run()?;
+        let violation = Model::new(seed, safeguards).run()?;
         (violation != Violation::NoLeader).then_some((seed, violation))
     };
     (0..seeds).find_map(unsafe_run)
 }
 
-fn finds(guards: Guards, expected: &[Violation]) {
-    let found = first_violation(MUTANT_SEEDS, guards);
+fn assert_finds(safeguards: Safeguards, expected: &[Violation]) {
+    let found = first_violation(VIOLATION_SEEDS, safeguards);
 
-    let (seed, violation) = found.expect("a model without this guard kept every promise");
+    let (seed, violation) = found.expect("no violation without this safeguard");
     assert!(expected.contains(&violation), "seed {seed}: {violation:?}");
 }
 
 #[test]
-fn leaders_never_overlap_and_one_is_back_after_faults() {
+fn leaders_never_overlap_and_one_is_elected_after_faults() {
     let seeds = std::env::var(SEEDS_VARIABLE).ok().and_then(|s| s.parse().ok()).unwrap_or(SEEDS);
 
-    let broken = (0..seeds).find_map(|seed| Some((seed, Model::new(seed, ALL).run()?)));
+    let violation = (0..seeds).find_map(|seed| Some((seed, Model::new(seed, ALL).run()?)));
 
-    assert_eq!(broken, None);
+    assert_eq!(violation, None);
 }
 
 #[test]
-fn a_lease_counted_from_the_answer_is_found() {
-    let guards = Guards { lease_from_before_the_request: false, ..ALL };
-    finds(guards, &[Violation::TokenFell, Violation::CameBackTooSoon]);
+fn a_lease_measured_from_the_answer_is_found() {
+    let safeguards = Safeguards { lease_measured_from_request: false, ..ALL };
+    assert_finds(safeguards, &[Violation::TokenDecreased, Violation::CooldownViolated]);
 }
 
 #[test]
-fn a_write_without_a_look_at_the_clock_is_found() {
-    finds(Guards { clock_before_each_write: false, ..ALL }, &[Violation::TokenFell]);
+fn a_write_without_a_check_of_the_deadline_is_found() {
+    assert_finds(Safeguards { deadline_check: false, ..ALL }, &[Violation::TokenDecreased]);
 }
 
-/// When a successor whose lease is granted as the predecessor's lapses may first call, and when the
-/// predecessor's last call arrives at the latest.
-fn handover_at_the_last_moment(timing: Timing) -> (Time, Time) {
+/// A new leader is granted its lease at the moment at which the previous leader's lease expires.
+/// Returns the time of the first call of the new leader, and the latest arrival of the last call of
+/// the previous one.
+fn handover_at_lease_expiry(timing: Timing) -> (Time, Time) {
     let position = |revision| Position { era: 1, revision };
     let lease = |sent, revision| Lease {
         sent,
@@ -73,56 +79,56 @@
         last_era: Some(1),
     };
     let began = Time(20_000_000);
-    let mut predecessor = Election::new(timing, Time(0), false);
-    predecessor.begin_term(began, &lease(began, 1));
-    let lapses = began + timing.lease_duration;
-    let last = predecessor.begin_call(lapses - timing.call_timeout, 1).unwrap();
-    let mut successor = Election::new(timing, Time(0), false);
-    successor.begin_term(lapses, &lease(lapses, 2));
-    let moments = (0..).map(|ms| lapses + Span::millis(ms));
-    let first = moments.into_iter().find(|at| successor.begin_call(*at, 1).is_some());
-    (first.unwrap(), last.deadline + LONGEST_FLIGHT)
+    let mut previous = Election::new(timing, Time(0), false);
+    previous.begin_term(began, &lease(began, 1));
+    let expiry = began + timing.lease_duration;
+    let last = previous.begin_call(expiry - timing.call_timeout, 1).unwrap();
+    let mut next = Election::new(timing, Time(0), false);
+    next.begin_term(expiry, &lease(expiry, 2));
+    let times = (0..).map(|ms| expiry + Span::millis(ms));
+    let first = times.into_iter().find(|at| next.begin_call(*at, 1).is_some());
+    (first.unwrap(), last.deadline + MAX_DELAY)
 }
 
 #[test]
-fn a_successor_waits_for_the_last_call_of_its_predecessor() {
-    let (first, last) = handover_at_the_last_moment(TIMING);
+fn a_new_leader_waits_for_the_last_call_of_the_previous_one() {
+    let (first, last) = handover_at_lease_expiry(TIMING);
 
     assert!(first > last);
 }
 
 #[test]
-fn a_successor_that_does_not_wait_is_found() {
-    let (first, last) = handover_at_the_last_moment(Timing { max_transit: Span(0), ..TIMING });
+fn a_new_leader_that_does_not_wait_is_found() {
+    let (first, last) = handover_at_lease_expiry(Timing { max_transit: Span(0), ..TIMING });
 
     assert!(first < last);
 }
 
 #[test]
-fn a_successor_that_trusts_a_rolled_back_store_is_found() {
-    finds(Guards { wait_after_another_era: false, ..ALL }, &[Violation::TokenFell]);
+fn a_new_leader_that_ignores_a_rollback_is_found() {
+    assert_finds(Safeguards { wait_after_new_era: false, ..ALL }, &[Violation::TokenDecreased]);
 }
 
 #[test]
-fn a_leader_that_outlives_a_rollback_is_found() {
-    let expected = [Violation::TokenFell, Violation::TokenRepeated];
-    finds(Guards { era_ends_term: false, ..ALL }, &expected);
+fn a_term_that_outlives_a_rollback_is_found() {
+    let expected = [Violation::TokenDecreased, Violation::TokenRepeated];
+    assert_finds(Safeguards { new_era_ends_term: false, ..ALL }, &expected);
 }
 
 #[test]
 fn a_token_without_its_era_is_found() {
-    let expected = [Violation::TokenFell, Violation::TokenRepeated];
-    finds(Guards { era_in_token: false, ..ALL }, &expected);
+    let expected = [Violation::TokenDecreased, Violation::TokenRepeated];
+    assert_finds(Safeguards { era_in_token: false, ..ALL }, &expected);
 }
 
 #[test]
-fn a_former_leader_that_does_not_stand_back_is_found() {
+fn a_missing_cooldown_is_found() {
     let timing = Timing { cooldown: Span(0), ..TIMING };
-    finds(Guards { timing, ..ALL }, &[Violation::CameBackTooSoon]);
+    assert_finds(Safeguards { timing, ..ALL }, &[Violation::CooldownViolated]);
 }
 
 #[test]
-fn a_leader_whose_record_is_gone_stops_although_its_renewals_succeed() {
+fn a_leader_without_a_record_stops_despite_successful_renewals() {
     let mut election = Election::new(TIMING, Time(0), false);
     let position = Position { era: 1, revision: 7 };
     let sent = Time(10_000_000);
@@ -144,7 +150,7 @@
 }
 
 #[test]
-fn a_leader_that_does_not_reach_the_platform_hands_over() {
+fn a_leader_that_does_not_reach_the_platform_resigns() {
     let mut election = Election::new(TIMING, Time(0), false);
     let position = Position { era: 1, revision: 7 };
     let ttl = TIMING.lease_duration;
--- a/core/tests/gateway/leader/model.rs
+++ b/core/tests/gateway/leader/model.rs
@@ -1,4 +1,4 @@
-//! Gateways, store, platform and network in virtual time.
+//! Model of gateways, store, platform and network in virtual time.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -25,43 +25,43 @@
     max_transit: Span::millis(500),
     cooldown: Span::secs(6),
 };
-/// Longest time for which bytes of an abandoned call are on their way.
-pub const LONGEST_FLIGHT: Span = Span::millis(480);
-/// Longest wait for an answer of the store.
-const PATIENCE: Span = Span::millis(900);
+/// Upper bound on the delay of a message, also of one of an abandoned call.
+pub const MAX_DELAY: Span = Span::millis(480);
+/// Timeout of a call to the store.
+const STORE_TIMEOUT: Span = Span::millis(900);
 const READ_PERIOD: Span = Span::millis(550);
 const WORK_PERIOD: Span = Span::millis(250);
-/// Faults come until here, and none after.
+/// Time of the last fault.
 const FAULTS_END: Time = Time(40_000_000);
-/// A leader must act by this time after the last fault.
-const LEADER_WITHIN: Span = Span::secs(18);
+/// Time after the last fault by which there must be an active leader.
+const ELECTION_LIMIT: Span = Span::secs(18);
 
-/// What guards the promises; each is taken out once.
+/// Safeguards of the election; each test of a violation disables one of them.
 #[derive(Clone, Copy, Debug)]
-pub struct Guards {
+pub struct Safeguards {
     pub timing: Timing,
-    pub lease_from_before_the_request: bool,
-    pub clock_before_each_write: bool,
-    pub wait_after_another_era: bool,
-    pub era_ends_term: bool,
+    pub lease_measured_from_request: bool,
+    pub deadline_check: bool,
+    pub wait_after_new_era: bool,
+    pub new_era_ends_term: bool,
     pub era_in_token: bool,
 }
 
-pub const ALL: Guards = Guards {
+pub const ALL: Safeguards = Safeguards {
     timing: TIMING,
-    lease_from_before_the_request: true,
-    clock_before_each_write: true,
-    wait_after_another_era: true,
-    era_ends_term: true,
+    lease_measured_from_request: true,
+    deadline_check: true,
+    wait_after_new_era: true,
+    new_era_ends_term: true,
     era_in_token: true,
 };
 
-/// A promise that was broken.
+/// Violated invariant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Violation {
-    TokenFell,
+    TokenDecreased,
     TokenRepeated,
-    CameBackTooSoon,
+    CooldownViolated,
     NoLeader,
 }
 
@@ -73,7 +73,7 @@
     Journal,
     Renew { lease: u64 },
     Release { lease: u64 },
-    Inaugurate { token: Token, revision: u64 },
+    WriteJournal { token: Token, revision: u64 },
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -92,11 +92,11 @@
     Control,
     Work,
     ReadTick,
-    /// A call reaches the store; the answer is for this call number.
+    /// A call with this number reaches the store.
     AtStore(u32, Call),
     Answer(u32, u64, Reply),
-    Patience(u32),
-    /// The call of a duty is written to its socket.
+    StoreTimeout(u32),
+    /// The process writes a call of a duty to the socket.
     Written(Permit),
     AtPlatform(u64),
     Accepted(Permit),
@@ -109,8 +109,8 @@
     Snapshot,
     StoreDown,
     StoreUp,
-    Cut,
-    Heal,
+    Disconnect,
+    Reconnect,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -128,9 +128,9 @@
     election: Election,
     era: u64,
     incarnation: u32,
-    alive: bool,
+    is_alive: bool,
     frozen_until: Time,
-    cut: bool,
+    is_disconnected: bool,
     control: Option<u32>,
     phase: Phase,
     sent: Time,
@@ -138,26 +138,26 @@
     lease_era: u64,
     position: Position,
     read: Option<(u32, Time)>,
-    inaugurating: Option<u32>,
+    writing_journal: Option<u32>,
     journal: Option<(Option<u64>, u64)>,
-    calling: Option<Permit>,
+    call_in_progress: Option<Permit>,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Held {
+struct Contents {
     revision: u64,
     leader: Option<(u64, u64)>,
     journal: Option<(u64, u64)>,
     leases: BTreeMap<u64, Time>,
-    /// Leases granted so far. A return to a copy grants the same numbers again.
+    /// Number of leases granted so far. After a rollback the same numbers are granted again.
     granted: u64,
 }
 
 #[derive(Debug)]
 pub struct Model {
-    guards: Guards,
-    /// Share of messages that are slow.
-    slow: f64,
+    safeguards: Safeguards,
+    /// Share of messages that are delayed.
+    slow_share: f64,
     rng: SmallRng,
     now: Time,
     queue: BinaryHeap<Reverse<(Time, u64, usize, u32)>>,
@@ -165,23 +165,23 @@
     number: u64,
     calls: u32,
     nodes: Vec<Node>,
-    held: Held,
+    store: Contents,
     era: u64,
-    copies: Vec<Held>,
-    down: bool,
-    taken: Vec<(Time, usize, u64)>,
+    snapshots: Vec<Contents>,
+    is_store_down: bool,
+    received: Vec<(Time, usize, u64)>,
 }
 
 const STORE: usize = usize::MAX;
 
 impl Model {
-    pub fn new(seed: u64, guards: Guards) -> Model {
+    pub fn new(seed: u64, safeguards: Safeguards) -> Model {
         let mut rng = SmallRng::seed_from_u64(seed);
         let count = rng.random_range(2..=5);
         let start = Time(1_000_000);
         let mut model = Model {
-            guards,
-            slow: if seed.is_multiple_of(2) { 0.08 } else { 0.6 },
+            safeguards,
+            slow_share: if seed.is_multiple_of(2) { 0.08 } else { 0.6 },
             rng,
             now: start,
             queue: BinaryHeap::new(),
@@ -189,79 +189,79 @@
             number: 0,
             calls: 0,
             nodes: Vec::new(),
-            held: Held::default(),
+            store: Contents::default(),
             era: 1,
-            copies: Vec::new(),
-            down: false,
-            taken: Vec::new(),
+            snapshots: Vec::new(),
+            is_store_down: false,
+            received: Vec::new(),
         };
         for i in 0..count {
-            model.nodes.push(fresh(guards.timing, start));
+            model.nodes.push(new_node(safeguards.timing, start));
             model.start_node(i);
         }
-        model.plan_faults(count);
+        model.schedule_faults(count);
         model
     }
 
     fn start_node(&mut self, i: usize) {
         for event in [Event::Control, Event::Work, Event::ReadTick] {
             let delay = self.rng.random_range(0..300_000);
-            self.at(self.now + Span(delay), i, event);
+            self.schedule_at(self.now + Span(delay), i, event);
         }
     }
 
-    fn plan_faults(&mut self, count: usize) {
+    fn schedule_faults(&mut self, count: usize) {
         for at in (0..40).map(|s| Time(1_000_000 + s * 1_000_000)) {
-            self.at(at, STORE, Event::Snapshot);
+            self.schedule_at(at, STORE, Event::Snapshot);
         }
         let faults = self.rng.random_range(1..14);
         for _ in 0..faults {
             let at = Time(self.rng.random_range(7_000_000..FAULTS_END.0 - 4_000_000));
             let node = self.rng.random_range(0..count);
             match self.rng.random_range(0..8) {
-                0 => self.at(at, node, Event::Kill),
-                1 => self.at(at, node, Event::Stop),
-                7 => self.plan_rolling_stop(at, count),
-                2 | 3 => self.at(at, node, Event::Freeze),
-                4 => self.at(at, STORE, Event::Rollback),
-                5 => self.at(at, STORE, Event::StoreDown),
-                _ => self.at(at, node, Event::Cut),
+                0 => self.schedule_at(at, node, Event::Kill),
+                1 => self.schedule_at(at, node, Event::Stop),
+                7 => self.schedule_rolling_stop(at, count),
+                2 | 3 => self.schedule_at(at, node, Event::Freeze),
+                4 => self.schedule_at(at, STORE, Event::Rollback),
+                5 => self.schedule_at(at, STORE, Event::StoreDown),
+                _ => self.schedule_at(at, node, Event::Disconnect),
             }
         }
     }
 
-    /// All processes are stopped and started again in turn.
-    fn plan_rolling_stop(&mut self, at: Time, count: usize) {
+    /// Stops all processes in turn; each is started again.
+    fn schedule_rolling_stop(&mut self, at: Time, count: usize) {
         let gap = self.rng.random_range(300_000..2_500_000);
         for (i, at) in (0..count).zip((0_u64..).map(|turn| at + Span(turn * gap))) {
-            self.at(at, i, Event::Stop);
+            self.schedule_at(at, i, Event::Stop);
         }
     }
 
-    fn at(&mut self, at: Time, node: usize, event: Event) {
+    fn schedule_at(&mut self, at: Time, node: usize, event: Event) {
         let incarnation = self.nodes.get(node).map_or(0, |n| n.incarnation);
         self.number += 1;
         self.events.insert(self.number, event);
         self.queue.push(Reverse((at, self.number, node, incarnation)));
     }
 
-    fn later(&mut self, span: Span, node: usize, event: Event) {
-        self.at(self.now + span, node, event);
+    fn schedule_after(&mut self, span: Span, node: usize, event: Event) {
+        self.schedule_at(self.now + span, node, event);
     }
 
-    fn faulty(&self) -> bool {
+    fn has_faults(&self) -> bool {
         self.now < FAULTS_END
     }
 
     fn delay(&mut self) -> Span {
-        let slow = self.faulty() && self.rng.random_bool(self.slow);
-        let range = if slow { 120_000..LONGEST_FLIGHT.0 } else { 300..6_000 };
+        let slow = self.has_faults() && self.rng.random_bool(self.slow_share);
+        let range = if slow { 120_000..MAX_DELAY.0 } else { 300..6_000 };
         Span(self.rng.random_range(range))
     }
 
-    /// Runs to the end; the first broken promise, if any.
+    /// Runs the model to the end and returns the first violation, if any.
     pub fn run(mut self) -> Option<Violation> {
-        let end = FAULTS_END + LEADER_WITHIN;
+        let end = FAULTS_END + ELECTION_LIMIT;
         while let Some(Reverse((at, number, node, incarnation))) = self.queue.pop() {
             let event = self.events.remove(&number).unwrap();
             if at > end {
@@ -269,9 +269,9 @@
             }
             self.now = at;
             if node == STORE || matches!(event, Event::AtStore(..) | Event::AtPlatform(..)) {
-                self.outside(node, event);
+                self.external_event(node, event);
             } else {
-                self.at_node(node, incarnation, event, number);
+                self.node_event(node, incarnation, event, number);
             }
             if let Some(violation) = self.violation() {
                 return Some(violation);
@@ -282,98 +282,99 @@
     }
 
     fn violation(&self) -> Option<Violation> {
-        let (at, node, token) = *self.taken.last()?;
-        let before = &self.taken[..self.taken.len() - 1];
+        let (at, node, token) = *self.received.last()?;
+        let before = &self.received[..self.received.len() - 1];
         if before.iter().any(|(_, n, t)| *t == token && *n != node) {
             return Some(Violation::TokenRepeated);
         }
         if before.iter().any(|(_, _, t)| *t > token) {
-            return Some(Violation::TokenFell);
+            return Some(Violation::TokenDecreased);
         }
         let other = before.iter().rposition(|(_, n, _)| *n != node)?;
         let own = before[..other].iter().rfind(|(_, n, _)| *n == node)?;
-        (at.since(own.0) < TIMING.lease_duration).then_some(Violation::CameBackTooSoon)
+        (at.since(own.0) < TIMING.lease_duration).then_some(Violation::CooldownViolated)
     }
 
-    fn outside(&mut self, node: usize, event: Event) {
+    fn external_event(&mut self, node: usize, event: Event) {
         match event {
-            Event::Snapshot => self.copies.push(self.held.clone()),
+            Event::Snapshot => self.snapshots.push(self.store.clone()),
             Event::Rollback => self.roll_back(),
             Event::StoreDown => {
-                self.down = true;
+                self.is_store_down = true;
                 let span = Span(self.rng.random_range(500_000..5_000_000));
                 if self.rng.random_bool(0.5) {
-                    // Leases pause while the store is down.
-                    self.held.leases.values_mut().for_each(|end| *end = *end + span);
+                    // Leases do not expire while the store is down.
+                    self.store.leases.values_mut().for_each(|end| *end = *end + span);
                 }
-                self.later(span, STORE, Event::StoreUp);
+                self.schedule_after(span, STORE, Event::StoreUp);
             }
-            Event::StoreUp => self.down = false,
-            Event::AtStore(number, call) => self.serve(node, number, call),
-            Event::AtPlatform(token) => self.taken.push((self.now, node, token)),
+            Event::StoreUp => self.is_store_down = false,
+            Event::AtStore(number, call) => self.handle_call(node, number, call),
+            Event::AtPlatform(token) => self.received.push((self.now, node, token)),
             _ => unreachable!(),
         }
     }
 
     fn roll_back(&mut self) {
-        let from = self.copies.len().saturating_sub(5);
-        if self.copies.is_empty() {
+        let from = self.snapshots.len().saturating_sub(5);
+        if self.snapshots.is_empty() {
             return;
         }
-        let copy = self.rng.random_range(from..self.copies.len());
-        let mut held = self.copies[copy].clone();
+        let copy = self.rng.random_range(from..self.snapshots.len());
+        let mut store = self.snapshots[copy].clone();
         let keeps = self.rng.random_bool(0.5);
-        for end in held.leases.values_mut() {
+        for end in store.leases.values_mut() {
             *end = if keeps { self.now + Span::secs(3) } else { self.now };
         }
-        self.held = held;
+        self.store = store;
         self.era += 1;
     }
 
     fn expire(&mut self) {
         let now = self.now;
-        self.held.leases.retain(|_, end| *end > now);
-        let gone = self.held.leader.is_some_and(|(l, _)| !self.held.leases.contains_key(&l));
-        if gone {
-            self.held.leader = None;
-            self.held.revision += 1;
+        self.store.leases.retain(|_, end| *end > now);
+        let is_expired =
+            self.store.leader.is_some_and(|(l, _)| !self.store.leases.contains_key(&l));
+        if is_expired {
+            self.store.leader = None;
+            self.store.revision += 1;
         }
     }
 
-    fn serve(&mut self, node: usize, number: u32, call: Call) {
-        if self.down {
+    fn handle_call(&mut self, node: usize, number: u32, call: Call) {
+        if self.is_store_down {
             return;
         }
         self.expire();
         let reply = self.execute(call);
-        let lost = self.faulty() && self.rng.random_bool(0.05);
+        let lost = self.has_faults() && self.rng.random_bool(0.05);
         if !lost {
             let delay = self.delay();
-            self.later(delay, node, Event::Answer(number, self.era, reply));
+            self.schedule_after(delay, node, Event::Answer(number, self.era, reply));
         }
     }
 
     fn execute(&mut self, call: Call) -> Reply {
-        let held = &mut self.held;
+        let store = &mut self.store;
         match call {
-            Call::Read => Reply::Leader(held.leader.map(|(_, revision)| revision)),
+            Call::Read => Reply::Leader(store.leader.map(|(_, revision)| revision)),
             Call::Grant => {
-                held.granted += 1;
-                held.leases.insert(held.granted, self.now + TIMING.lease_duration);
-                Reply::Granted(held.granted)
+                store.granted += 1;
+                store.leases.insert(store.granted, self.now + TIMING.lease_duration);
+                Reply::Granted(store.granted)
             }
-            Call::Acquire { lease } if !held.leases.contains_key(&lease) => Reply::Ended,
-            Call::Acquire { .. } if held.leader.is_some() => Reply::Conflict,
+            Call::Acquire { lease } if !store.leases.contains_key(&lease) => Reply::Ended,
+            Call::Acquire { .. } if store.leader.is_some() => Reply::Conflict,
             Call::Acquire { lease } => {
-                held.revision += 1;
-                held.leader = Some((lease, held.revision));
-                Reply::Committed(held.revision)
+                store.revision += 1;
+                store.leader = Some((lease, store.revision));
+                Reply::Committed(store.revision)
             }
             Call::Journal => Reply::Journal {
-                era: held.journal.map(|j| j.0),
-                revision: held.journal.map_or(0, |j| j.1),
+                era: store.journal.map(|j| j.0),
+                revision: store.journal.map_or(0, |j| j.1),
             },
-            Call::Renew { lease } => match held.leases.get_mut(&lease) {
+            Call::Renew { lease } => match store.leases.get_mut(&lease) {
                 Some(end) => {
                     *end = self.now + TIMING.lease_duration;
                     Reply::Done
@@ -381,55 +382,57 @@
                 None => Reply::Ended,
             },
             Call::Release { lease } => {
-                held.leases.remove(&lease);
-                if held.leader.is_some_and(|(l, _)| l == lease) {
-                    held.leader = None;
-                    held.revision += 1;
+                store.leases.remove(&lease);
+                if store.leader.is_some_and(|(l, _)| l == lease) {
+                    store.leader = None;
+                    store.revision += 1;
                 }
                 Reply::Done
             }
-            Call::Inaugurate { token, revision } => {
-                let holds = held.leader.is_some_and(|(_, r)| r == token.revision())
-                    && held.journal.map_or(0, |j| j.1) == revision;
+            Call::WriteJournal { token, revision } => {
+                let holds = store.leader.is_some_and(|(_, r)| r == token.revision())
+                    && store.journal.map_or(0, |j| j.1) == revision;
                 if !holds {
                     return Reply::Conflict;
                 }
-                held.revision += 1;
-                held.journal = Some((token.era(), held.revision));
-                Reply::Committed(held.revision)
+                store.revision += 1;
+                store.journal = Some((token.era(), store.revision));
+                Reply::Committed(store.revision)
             }
         }
     }
 
-    /// Sends a call to the store; lost ones may be done seconds later.
+    /// Sends a call to the store; a lost call may still be executed seconds later.
     fn send(&mut self, i: usize, call: Call) -> u32 {
         self.calls += 1;
         let number = self.calls;
-        let lost = self.nodes[i].cut || (self.faulty() && self.rng.random_bool(0.04));
-        let late = lost && !self.nodes[i].cut && self.rng.random_bool(0.5);
+        let lost =
+            self.nodes[i].is_disconnected || (self.has_faults() && self.rng.random_bool(0.04));
+        let late = lost && !self.nodes[i].is_disconnected && self.rng.random_bool(0.5);
         if !lost || late {
             let extra = if late { self.rng.random_range(900_000..4_000_000) } else { 0 };
             let delay = self.delay();
-            self.later(delay + Span(extra), i, Event::AtStore(number, call));
+            self.schedule_after(delay + Span(extra), i, Event::AtStore(number, call));
         }
-        self.later(PATIENCE, i, Event::Patience(number));
+        self.schedule_after(STORE_TIMEOUT, i, Event::StoreTimeout(number));
         number
     }
 
-    fn at_node(&mut self, i: usize, incarnation: u32, event: Event, number: u64) {
+    fn node_event(&mut self, i: usize, incarnation: u32, event: Event, number: u64) {
         let node = &mut self.nodes[i];
-        let is_fault = matches!(event, Event::Kill | Event::Freeze | Event::Cut | Event::Heal);
+        let is_fault =
+            matches!(event, Event::Kill | Event::Freeze | Event::Disconnect | Event::Reconnect);
         if is_fault || matches!(event, Event::Restart) {
-            return self.disturb(i, event);
+            return self.apply_fault(i, event);
         }
-        if !node.alive || node.incarnation != incarnation {
+        if !node.is_alive || node.incarnation != incarnation {
             return;
         }
         if self.now < node.frozen_until {
-            // The process goes on where it stood once it is resumed.
+            // The process continues from this event once it is resumed.
             self.events.insert(number, event);
-            // An answer that waits is found before the timer that has run out.
-            let after = u64::from(matches!(event, Event::Patience(_)));
+            // A resumed process handles a received answer before the expired timer.
+            let after = u64::from(matches!(event, Event::StoreTimeout(_)));
             let at = node.frozen_until + Span(after);
             self.queue.push(Reverse((at, number, i, incarnation)));
             return;
@@ -447,57 +450,57 @@
             Event::Work => self.work(i),
             Event::ReadTick => self.read_tick(i),
             Event::Answer(call, era, reply) => self.answer(i, call, era, reply),
-            Event::Patience(call) => self.timed_out(i, call),
+            Event::StoreTimeout(call) => self.store_timeout(i, call),
             Event::Written(permit) => self.write(i, permit),
-            Event::Accepted(permit) => self.call_ended(i, permit, Outcome::Accepted),
-            Event::CallTimeout(permit) => self.call_ended(i, permit, Outcome::Unanswered),
+            Event::Accepted(permit) => self.end_call(i, permit, Outcome::Accepted),
+            Event::CallTimeout(permit) => self.end_call(i, permit, Outcome::Unanswered),
             Event::Stop => {
                 self.nodes[i].election.stop();
                 let slow = self.rng.random_bool(0.5);
                 let longest = if slow { 4_000_000 } else { 600_000 };
                 let span = Span(self.rng.random_range(300_000..longest));
-                self.later(span, i, Event::Kill);
+                self.schedule_after(span, i, Event::Kill);
             }
             _ => unreachable!(),
         }
     }
 
-    fn disturb(&mut self, i: usize, event: Event) {
+    fn apply_fault(&mut self, i: usize, event: Event) {
         match event {
-            Event::Kill if self.nodes[i].alive => {
-                self.nodes[i].alive = false;
+            Event::Kill if self.nodes[i].is_alive => {
+                self.nodes[i].is_alive = false;
                 let slow = self.rng.random_bool(0.5);
                 let longest = if slow { 3_000_000 } else { 300_000 };
                 let span = Span(self.rng.random_range(100_000..longest));
-                self.later(span, i, Event::Restart);
+                self.schedule_after(span, i, Event::Restart);
             }
             Event::Restart => {
                 let incarnation = self.nodes[i].incarnation + 1;
-                let cut = self.nodes[i].cut;
-                let fresh = fresh(self.guards.timing, self.now);
-                self.nodes[i] = Node { incarnation, cut, ..fresh };
+                let is_disconnected = self.nodes[i].is_disconnected;
+                let node = new_node(self.safeguards.timing, self.now);
+                self.nodes[i] = Node { incarnation, is_disconnected, ..node };
                 self.start_node(i);
             }
             Event::Freeze => {
                 let span = Span(self.rng.random_range(500_000..7_000_000));
                 self.nodes[i].frozen_until = self.now + span;
             }
-            Event::Cut => {
-                self.nodes[i].cut = true;
+            Event::Disconnect => {
+                self.nodes[i].is_disconnected = true;
                 let span = Span(self.rng.random_range(500_000..6_000_000));
-                self.later(span, i, Event::Heal);
+                self.schedule_after(span, i, Event::Reconnect);
             }
-            Event::Heal => self.nodes[i].cut = false,
+            Event::Reconnect => self.nodes[i].is_disconnected = false,
             _ => {}
         }
     }
 
     fn known_era(&self, i: usize) -> u64 {
-        if self.guards.era_ends_term { self.nodes[i].era } else { 0 }
+        if self.safeguards.new_era_ends_term { self.nodes[i].era } else { 0 }
     }
 
     fn control(&mut self, i: usize) {
-        self.later(Span::millis(100), i, Event::Control);
+        self.schedule_after(Span::millis(100), i, Event::Control);
         if self.nodes[i].phase != Phase::Idle {
             return;
         }
@@ -519,7 +522,7 @@
 
     fn answer(&mut self, i: usize, call: u32, era: u64, reply: Reply) {
         if era < self.nodes[i].era {
-            return self.timed_out(i, call);
+            return self.store_timeout(i, call);
         }
         self.nodes[i].era = era;
         let now = self.now;
@@ -532,9 +535,9 @@
             }
             return;
         }
-        if self.nodes[i].inaugurating == Some(call) {
+        if self.nodes[i].writing_journal == Some(call) {
             let node = &mut self.nodes[i];
-            node.inaugurating = None;
+            node.writing_journal = None;
             node.journal = match (reply, node.election.token()) {
                 (Reply::Committed(revision), Some(token)) => Some((Some(token.era()), revision)),
                 _ => None,
@@ -544,7 +547,8 @@
         if self.nodes[i].control != Some(call) {
             return;
         }
-        let sent = if self.guards.lease_from_before_the_request { self.nodes[i].sent } else { now };
+        let sent =
+            if self.safeguards.lease_measured_from_request { self.nodes[i].sent } else { now };
         let node = &mut self.nodes[i];
         match (node.phase, reply) {
             (Phase::Granting, Reply::Granted(lease)) => {
@@ -563,10 +567,10 @@
             }
             (Phase::ReadingJournal, Reply::Journal { era: last, revision }) => {
                 self.nodes[i].journal = Some((last, revision));
-                self.win(i, sent, last);
+                self.begin_term(i, sent, last);
             }
             (Phase::Renewing, Reply::Done) => {
-                let era = if self.guards.era_ends_term { era } else { 0 };
+                let era = if self.safeguards.new_era_ends_term { era } else { 0 };
                 node.election.extend_term(now, sent, era);
                 (node.phase, node.control) = (Phase::Idle, None);
             }
@@ -585,8 +589,8 @@
         }
     }
 
-    fn win(&mut self, i: usize, sent: Time, last: Option<u64>) {
-        let waits = self.guards.wait_after_another_era;
+    fn begin_term(&mut self, i: usize, sent: Time, last: Option<u64>) {
+        let waits = self.safeguards.wait_after_new_era;
         let node = &mut self.nodes[i];
         (node.phase, node.control) = (Phase::Idle, None);
         if node.era != node.position.era {
@@ -602,14 +606,14 @@
         node.election.begin_term(self.now, &lease);
     }
 
-    fn timed_out(&mut self, i: usize, call: u32) {
+    fn store_timeout(&mut self, i: usize, call: u32) {
         let now = self.now;
         let node = &mut self.nodes[i];
         if node.read.is_some_and(|(number, _)| number == call) {
             node.read = None;
         }
-        if node.inaugurating == Some(call) {
-            node.inaugurating = None;
+        if node.writing_journal == Some(call) {
+            node.writing_journal = None;
             node.journal = None;
         }
         if node.control != Some(call) {
@@ -624,7 +628,7 @@
     }
 
     fn read_tick(&mut self, i: usize) {
-        self.later(READ_PERIOD, i, Event::ReadTick);
+        self.schedule_after(READ_PERIOD, i, Event::ReadTick);
         if self.nodes[i].read.is_none() {
             let number = self.send(i, Call::Read);
             self.nodes[i].read = Some((number, self.now));
@@ -632,61 +636,61 @@
     }
 
     fn work(&mut self, i: usize) {
-        self.later(WORK_PERIOD, i, Event::Work);
+        self.schedule_after(WORK_PERIOD, i, Event::Work);
         let (now, era) = (self.now, self.known_era(i));
         let Some(token) = self.nodes[i].election.active_token(now) else {
             return;
         };
-        if self.nodes[i].inaugurating.is_some() || self.nodes[i].calling.is_some() {
+        if self.nodes[i].writing_journal.is_some() || self.nodes[i].call_in_progress.is_some() {
             return;
         }
-        // The model reads no journal again: a term whose write had no answer ends here.
+        // The model does not reread the journal: a term whose write got no answer ends here.
         let Some((last, revision)) = self.nodes[i].journal else {
             return self.nodes[i].election.resign(Cause::LeaseEnded);
         };
         if last != Some(token.era()) {
-            let number = self.send(i, Call::Inaugurate { token, revision });
-            self.nodes[i].inaugurating = Some(number);
+            let number = self.send(i, Call::WriteJournal { token, revision });
+            self.nodes[i].writing_journal = Some(number);
             return;
         }
         if let Some(permit) = self.nodes[i].election.begin_call(now, era) {
-            self.nodes[i].calling = Some(permit);
-            // Connecting, and waiting for the other tasks of the process, take time.
-            let slow = self.faulty() && self.rng.random_bool(self.slow);
+            self.nodes[i].call_in_progress = Some(permit);
+            // Connecting and other tasks of the process delay the write.
+            let slow = self.has_faults() && self.rng.random_bool(self.slow_share);
             let range = if slow { 500_000..749_000 } else { 300..6_000 };
             let delay = Span(self.rng.random_range(range));
-            self.later(delay, i, Event::Written(permit));
+            self.schedule_after(delay, i, Event::Written(permit));
         }
     }
 
     fn write(&mut self, i: usize, permit: Permit) {
-        if self.guards.clock_before_each_write && self.now >= permit.deadline {
-            return self.call_ended(i, permit, Outcome::Unanswered);
+        if self.safeguards.deadline_check && self.now >= permit.deadline {
+            return self.end_call(i, permit, Outcome::Unanswered);
         }
         let token =
-            if self.guards.era_in_token { permit.token.get() } else { permit.token.revision() };
-        let there = self.delay();
-        self.later(there, i, Event::AtPlatform(token));
-        let back = self.delay();
-        let answered = self.now + there + back < permit.deadline;
+            if self.safeguards.era_in_token { permit.token.get() } else { permit.token.revision() };
+        let outbound = self.delay();
+        self.schedule_after(outbound, i, Event::AtPlatform(token));
+        let inbound = self.delay();
+        let answered = self.now + outbound + inbound < permit.deadline;
         let outcome = if answered { Event::Accepted(permit) } else { Event::CallTimeout(permit) };
-        self.later(there + back, i, outcome);
+        self.schedule_after(outbound + inbound, i, outcome);
     }
 
-    fn call_ended(&mut self, i: usize, permit: Permit, outcome: Outcome) {
-        self.nodes[i].calling = None;
+    fn end_call(&mut self, i: usize, permit: Permit, outcome: Outcome) {
+        self.nodes[i].call_in_progress = None;
         self.nodes[i].election.end_call(self.now, &permit, outcome);
     }
 }
 
-fn fresh(timing: Timing, now: Time) -> Node {
+fn new_node(timing: Timing, now: Time) -> Node {
     Node {
         election: Election::new(timing, now, false),
         era: 0,
         incarnation: 0,
-        alive: true,
+        is_alive: true,
         frozen_until: Time(0),
-        cut: false,
+        is_disconnected: false,
         control: None,
         phase: Phase::Idle,
         sent: now,
@@ -694,8 +698,8 @@
         lease_era: 0,
         position: Position::default(),
         read: None,
-        inaugurating: None,
+        writing_journal: None,
         journal: None,
-        calling: None,
+        call_in_progress: None,
     }
 }
