--- a/gateway/src/peers.rs
+++ b/gateway/src/peers.rs
@@ -200,7 +200,7 @@
     }
 }
 
-/// Sends one heartbeat to at most [`FANOUT`] peers.
+/// Sends one heartbeat to a few peers.
 pub async fn send_heartbeat(shared: &Shared) {
     let (heartbeat, mut peers) = {
         let gateway = shared.gateway.borrow();
--- a/gateway/src/store.rs
+++ b/gateway/src/store.rs
@@ -145,7 +145,7 @@
     pub withdraw: Box<dyn FnMut(u64) -> Reply<()>>,
 }
 
-/// Waits for one call of the store for at most [`CALL_TIMEOUT`].
+/// Waits for one call of the store for at most 900 ms.
 ///
 /// # Errors
 ///
@@ -154,7 +154,7 @@
     tokio::time::timeout(CALL_TIMEOUT, call).await.unwrap_or(Err(Error::TimedOut))
 }
 
-/// Reads the body of a response, with [`CALL_TIMEOUT`] for each part of it.
+/// Reads the body of a response, with a timeout of 900 ms for each part of it.
 ///
 /// With one timeout for the whole body, a large response over a slow link looked like a store that
 /// does not respond, at every gateway and as long as the response stayed large.
