--- a/core/src/gateway/budget.rs
+++ b/core/src/gateway/budget.rs
@@ -50,8 +50,8 @@
 
     fn bucket(&mut self, now: Time) -> &mut Bucket {
         let index = now.0 / BUCKET_WIDTH.0;
-        let kept = self.rules.window.0 / BUCKET_WIDTH.0 + 1;
-        while self.buckets.front().is_some_and(|b| b.index + kept < index) {
+        let kept_buckets = self.rules.window.0 / BUCKET_WIDTH.0 + 1;
+        while self.buckets.front().is_some_and(|b| b.index + kept_buckets < index) {
             self.buckets.pop_front();
         }
         if self.buckets.back().is_none_or(|b| b.index < index) {
--- a/core/src/gateway/refusal.rs
+++ b/core/src/gateway/refusal.rs
@@ -10,7 +10,7 @@
 pub enum Reason {
     /// No configuration is known yet.
     NoConfiguration,
-    /// The configuration was last proved current too long ago to honour a key.
+    /// The configuration was last proved current too long ago to accept a key.
     StaleConfiguration,
     /// The gateway is stopping and may end before the call does.
     Stopping,
--- a/core/src/gateway/state/attempts.rs
+++ b/core/src/gateway/state/attempts.rs
@@ -77,8 +77,8 @@
         if let Some(tally) = self.tally(&claim) {
             tally.record_stream_end(claim.pause);
             if claim.first_event_seen {
-                let life = claim.sensitive.then(|| now.since(claim.sent));
-                tally.record_call_end(claim.prefill_ms, life);
+                let lifetime = claim.sensitive.then(|| now.since(claim.sent));
+                tally.record_call_end(claim.prefill_ms, lifetime);
             }
         }
         if claim.first_event_seen
--- a/core/src/gateway/state/owner.rs
+++ b/core/src/gateway/state/owner.rs
@@ -47,14 +47,15 @@
         queries
     }
 
-    /// Snapshots of those `engines` that are listed and owned by this gateway.
+    /// Snapshots of those `engines` that are listed and that this gateway has owned for long enough
+    /// to know all of their calls.
     pub fn snapshots(&mut self, now: Time, engines: &[Digest]) -> Vec<Snapshot> {
         let listed = engines.iter().filter(|engine| self.fleet.contains(**engine));
         listed.filter_map(|engine| self.occupancy.snapshot(now, *engine)).collect()
     }
 
     /// Records updates of a peer. Updates for an incarnation that is not listed are dropped: it has
-    /// ended, or was not listed yet and its occupancy would lack earlier calls.
+    /// ended, or is too new for its occupancy to be complete.
     pub fn record_updates(&mut self, now: Time, updates: &[Update]) {
         self.sweep(now);
         for update in updates.iter().filter(|update| self.fleet.contains(update.engine)) {
--- a/core/src/gateway/state/poison.rs
+++ b/core/src/gateway/state/poison.rs
@@ -80,15 +80,15 @@
                 merged.insert(own.fingerprint, own);
             }
         }
-        let mut kept: Vec<Record> = merged.into_values().collect();
-        kept.sort_by_key(|record| record.crashes.iter().map(|crash| crash.age_ms).min());
-        kept.truncate(MAX_STORED);
+        let mut records: Vec<Record> = merged.into_values().collect();
+        records.sort_by_key(|record| record.crashes.iter().map(|crash| crash.age_ms).min());
+        records.truncate(MAX_STORED);
         let is_stored = |record: &Record| {
             stored.iter().any(|s| {
                 s.fingerprint == record.fingerprint && s.crashes.len() == record.crashes.len()
             })
         };
-        let up_to_date = kept.len() == stored.len() && kept.iter().all(is_stored);
-        (!up_to_date).then_some(kept)
+        let up_to_date = records.len() == stored.len() && records.iter().all(is_stored);
+        (!up_to_date).then_some(records)
     }
 }
--- a/core/tests/gateway/stop.rs
+++ b/core/tests/gateway/stop.rs
@@ -12,7 +12,7 @@
 const GRACE: Span = Span::millis(7_400);
 
 /// A caller with an outdated list of gateways sends a chat 3.5 s after the stop began. The chat's
-/// deadline is far behind the end of the grace period, so its answer would be cut off in the middle
+/// deadline is far after the end of the grace period, so its answer would be cut off in the middle
 /// when the process ends.
 #[test]
 fn a_long_call_that_comes_late_in_a_stop_is_sent_elsewhere() {
