--- a/core/src/node/attempt.rs
+++ b/core/src/node/attempt.rs
@@ -69,7 +69,7 @@
             self.note_victim(key, attempt);
         }
         if let (Some(gap), Some(up)) = (gap, self.upstreams.get_mut(upstream)) {
-            up.observe_gap(gap, frame.tokens);
+            up.record_token_gap(gap, frame.tokens);
         }
     }
 
@@ -100,7 +100,7 @@
             up.outlier.success();
             if let Some(state) = self.groups.get_mut(&group) {
                 state.observe_service(now.since(a.sent));
-                state.pool.rank(now, &mut self.upstreams, a.upstream);
+                state.pool.update_rank(now, &mut self.upstreams, a.upstream);
             }
         }
         self.finish(now, key, outcome);
@@ -184,7 +184,7 @@
                 }
             }
         }
-        state.pool.rank(now, &mut self.upstreams, key);
+        state.pool.update_rank(now, &mut self.upstreams, key);
         let line = Line::new("attempt_failed").with("upstream", name);
         self.out.push(Action::Log(line.with("failure", format!("{failure:?}").to_lowercase())));
         if failure == Failure::Leaving {
--- a/core/src/node/control.rs
+++ b/core/src/node/control.rs
@@ -101,7 +101,7 @@
         self.adapt_headroom(now);
         self.demands.prune(now);
         for state in self.groups.values_mut() {
-            state.pool.compare(now, &mut self.upstreams);
+            state.pool.update_slowness(now, &mut self.upstreams);
         }
         self.drop_removed();
         self.tick_orders(now);
--- a/core/src/node/dispatch.rs
+++ b/core/src/node/dispatch.rs
@@ -15,9 +15,9 @@
 use crate::share::Wanted;
 use crate::time::Span;
 use crate::time::Time;
-use crate::upstream::STRAGGLING;
+use crate::upstream::Criteria;
+use crate::upstream::STRAGGLER_SLOWNESS;
 use crate::upstream::Upstream;
-use crate::upstream::Wish;
 
 /// Headroom before any report.
 pub const FIRST_HEADROOM: f64 = 1.35;
@@ -52,7 +52,7 @@
 
     /// Whether more is wanted than this router's slots hold.
     fn saturated(&self) -> bool {
-        !self.queue.is_empty() || self.pool.outstanding >= self.pool.allowed()
+        !self.queue.is_empty() || self.pool.outstanding >= self.pool.max_outstanding()
     }
 
     /// Takes the time of an attempt that came to its end in.
@@ -120,20 +120,20 @@
         let r = self.requests.get(key)?;
         let pool = &mut self.groups.get_mut(&group)?.pool;
         let prompt = f64::from(r.submission.prompt_tokens / PROMPT_PART);
-        let wish = Wish {
+        let criteria = Criteria {
             holders: self.prefixes.holders(&r.submission.prefix),
-            avoid: &r.avoid,
+            excluded: &r.avoid,
             domain: &self.settings.failure_domain,
-            spared: prompt / (prompt + f64::from(r.estimate)),
+            cached_share: prompt / (prompt + f64::from(r.estimate)),
         };
-        let mut choose = |wish: &Wish<'_>| {
-            let own = pool.choose(now, &self.upstreams, wish);
+        let mut choose = |criteria: &Criteria<'_>| {
+            let own = pool.choose(now, &self.upstreams, criteria);
             let urgent = r.place.rule.protected || due;
-            own.or_else(|| urgent.then(|| pool.choose_urgent(now, &self.upstreams, wish))?)
+            own.or_else(|| urgent.then(|| pool.choose_urgent(now, &self.upstreams, criteria))?)
         };
         // If every other replica is gone or full, one that failed this request is better than none.
-        choose(&wish).or_else(|| {
-            if r.avoid.is_empty() { None } else { choose(&Wish { avoid: &[], ..wish }) }
+        choose(&criteria).or_else(|| {
+            if r.avoid.is_empty() { None } else { choose(&Criteria { excluded: &[], ..criteria }) }
         })
     }
 
@@ -170,7 +170,7 @@
         let tier = usize::from(r.place.rule.tier);
         self.stats.dispatches += 1;
         if let Some(state) = self.groups.get_mut(&group) {
-            state.pool.begin(now, &mut self.upstreams, upstream);
+            state.pool.start_attempt(now, &mut self.upstreams, upstream);
             state.running[tier] += 1;
             if !retry {
                 state.budget.earn();
@@ -208,7 +208,7 @@
             let key = *self.attempts.get(id)?;
             let upstream = self.requests.get(key)?.attempt.as_ref()?.upstream;
             let up = self.upstreams.get(upstream)?;
-            let there = up.is_usable(now) && up.slowness() < STRAGGLING;
+            let there = up.is_usable(now) && up.slowness() < STRAGGLER_SLOWNESS;
             let fit = *tier > r.place.rule.tier && there && !r.avoid.contains(&upstream);
             fit.then_some((key, upstream))
         });
@@ -259,7 +259,7 @@
         let attempt = r.attempt.take()?;
         self.attempts.remove(&attempt.id);
         if let Some(state) = self.groups.get_mut(&r.group) {
-            state.pool.end(now, &mut self.upstreams, attempt.upstream);
+            state.pool.end_attempt(now, &mut self.upstreams, attempt.upstream);
             state.running[usize::from(r.place.rule.tier)] -= 1;
             state.victims.remove(&(r.place.rule.tier, attempt.id));
             state.blocked = false;
--- a/core/src/node/upstreams.rs
+++ b/core/src/node/upstreams.rs
@@ -54,7 +54,7 @@
             idle.map(|(k, u)| (k, u.group, u.name.clone())).collect();
         for (key, group, name) in idle {
             if let Some(state) = self.groups.get_mut(&group) {
-                state.pool.forget(key, &self.upstreams);
+                state.pool.remove(key, &self.upstreams);
             }
             self.prefixes.forget(key);
             self.upstreams.remove(key);
@@ -67,7 +67,7 @@
     pub(super) fn rank_upstream(&mut self, now: Time, key: Key<Upstream>) {
         let group = self.upstreams.get(key).map(|u| u.group);
         if let Some(state) = group.and_then(|g| self.groups.get_mut(&g)) {
-            state.pool.rank(now, &mut self.upstreams, key);
+            state.pool.update_rank(now, &mut self.upstreams, key);
         }
     }
 
@@ -78,7 +78,7 @@
         let Some(up) = self.upstreams.get_mut(key) else {
             return;
         };
-        up.report(now, load);
+        up.record_report(now, load);
         let group = up.group;
         self.rank_upstream(now, key);
         self.pump(now, group);
@@ -95,7 +95,7 @@
                 continue;
             };
             let before = up.leaving;
-            up.listed_leaving(now, leaving.contains(&name));
+            up.set_listed_leaving(now, leaving.contains(&name));
             let after = up.leaving;
             if after != before {
                 self.rank_upstream(now, key);
--- a/core/src/upstream.rs
+++ b/core/src/upstream.rs
@@ -16,23 +16,23 @@
 use crate::time::Span;
 use crate::time::Time;
 
-const HISTORY: Span = Span::secs(4);
+const HISTORY_LENGTH: Span = Span::secs(4);
 const HISTORY_STEP: Span = Span::millis(20);
-const REPORT_LIFE: Span = Span::secs(5);
+const REPORT_TTL: Span = Span::secs(5);
 /// A hint that a replica is leaving holds for this long against the host list.
-pub const HINT_LIFE: Span = Span::secs(60);
-const GAP_STEP: f64 = 0.1;
+pub const LEAVING_HINT_TTL: Span = Span::secs(60);
+const GAP_SMOOTHING: f64 = 0.1;
 /// Largest batch believed of a report.
 const MAX_SLOTS: u32 = 4_096;
 const MAX_SLOWNESS: f64 = 10.0;
 /// A replica this much slower than its peers is a straggler.
-pub const STRAGGLING: f64 = 2.0;
-const SCORED: usize = 6;
-const FOREIGN: f64 = 0.05;
+pub const STRAGGLER_SLOWNESS: f64 = 2.0;
+const MAX_SCORED: usize = 6;
+const OTHER_DOMAIN_COST: f64 = 0.05;
 /// Largest corrected load that urgent requests may bring about, in slots.
-const OVERFILL: f64 = 2.5;
+const MAX_URGENT_LOAD: f64 = 2.5;
 /// A replica with more reported waiting than this part of its slots gets only urgent requests.
-const CONGESTED: f64 = 1.0;
+const MAX_WAITING: f64 = 1.0;
 
 /// Place of a replica in its pool's order, and the slots counted for it there.
 #[derive(Clone, Copy, Debug)]
@@ -57,21 +57,21 @@
     /// Attempts of this router in progress there.
     pub outstanding: u32,
     /// Attempts that this router's slice lets it have there.
-    pub allowed: u32,
+    pub max_outstanding: u32,
     /// Gets no new work.
     pub leaving: bool,
-    hinted: Option<Time>,
+    leaving_hint: Option<Time>,
     /// No longer in the configuration.
     pub removed: bool,
     /// Failure record.
     pub outlier: outlier::Record,
-    others: f64,
+    other_load: f64,
     reported_waiting: u32,
     reported: Option<Time>,
     history: VecDeque<(Time, u32)>,
-    gap: f64,
+    token_gap: f64,
     slowness: f64,
-    tie: u32,
+    tie_breaker: u32,
     rank: Option<Rank>,
 }
 
@@ -81,7 +81,7 @@
         config: &crate::config::Upstream,
         group: GroupKey,
         slots: u32,
-        tie: u32,
+        tie_breaker: u32,
     ) -> Upstream {
         Upstream {
             name: config.name.clone(),
@@ -90,18 +90,18 @@
             failure_domain: config.failure_domain.clone(),
             slots,
             outstanding: 0,
-            allowed: 0,
+            max_outstanding: 0,
             leaving: false,
-            hinted: None,
+            leaving_hint: None,
             removed: false,
             outlier: outlier::Record::default(),
-            others: 0.0,
+            other_load: 0.0,
             reported_waiting: 0,
             reported: None,
             history: VecDeque::new(),
-            gap: 0.0,
+            token_gap: 0.0,
             slowness: 1.0,
-            tie,
+            tie_breaker,
             rank: None,
         }
     }
@@ -109,36 +109,36 @@
     /// Notes word of the replica itself, or of a peer that had it, that it is leaving.
     pub fn hint_leaving(&mut self, now: Time) {
         self.leaving = true;
-        self.hinted = Some(now);
+        self.leaving_hint = Some(now);
     }
 
     /// Notes whether the platform's host list names it as leaving; the list lags, so it does not
-    /// take back a hint that is younger than [`HINT_LIFE`].
-    pub fn listed_leaving(&mut self, now: Time, listed: bool) {
-        let hinted = self.hinted.is_some_and(|at| now.since(at) < HINT_LIFE);
-        self.leaving = listed || hinted;
+    /// take back a hint that is younger than [`LEAVING_HINT_TTL`].
+    pub fn set_listed_leaving(&mut self, now: Time, listed: bool) {
+        let has_hint = self.leaving_hint.is_some_and(|at| now.since(at) < LEAVING_HINT_TTL);
+        self.leaving = listed || has_hint;
     }
 
-    fn had(&self, at: Time) -> u32 {
+    fn outstanding_at(&self, at: Time) -> u32 {
         let before = self.history.iter().rev().find(|(t, _)| *t <= at);
         before.or(self.history.front()).map_or(self.outstanding, |(_, n)| *n)
     }
 
-    fn note(&mut self, now: Time) {
+    fn record_history(&mut self, now: Time) {
         match self.history.back_mut() {
             Some((at, n)) if now.since(*at) < HISTORY_STEP => *n = self.outstanding,
             _ => self.history.push_back((now, self.outstanding)),
         }
-        while self.history.front().is_some_and(|(at, _)| now.since(*at) > HISTORY) {
+        while self.history.front().is_some_and(|(at, _)| now.since(*at) > HISTORY_LENGTH) {
             self.history.pop_front();
         }
     }
 
     /// Takes a load report in.
-    pub fn report(&mut self, now: Time, load: Load) {
+    pub fn record_report(&mut self, now: Time, load: Load) {
         let taken = now - Span(load.age);
         let total = f64::from(load.running.saturating_add(load.waiting));
-        self.others = (total - f64::from(self.had(taken))).max(0.0);
+        self.other_load = (total - f64::from(self.outstanding_at(taken))).max(0.0);
         self.reported_waiting = load.waiting;
         self.reported = Some(now);
         if load.slots > 0 {
@@ -148,14 +148,14 @@
 
     /// Requests there by corrected load: others' by the last report, this router's exactly.
     pub fn load(&self, now: Time) -> f64 {
-        let fresh = self.reported.is_some_and(|at| now.since(at) <= REPORT_LIFE);
-        let others = if fresh { self.others } else { 0.0 };
-        others + f64::from(self.outstanding)
+        let fresh = self.reported.is_some_and(|at| now.since(at) <= REPORT_TTL);
+        let other_load = if fresh { self.other_load } else { 0.0 };
+        other_load + f64::from(self.outstanding)
     }
 
     /// Requests waiting inside it, by a report that is still fresh.
     pub fn waiting(&self, now: Time) -> Option<u32> {
-        let fresh = self.reported.is_some_and(|at| now.since(at) <= REPORT_LIFE);
+        let fresh = self.reported.is_some_and(|at| now.since(at) <= REPORT_TTL);
         fresh.then_some(self.reported_waiting)
     }
 
@@ -165,22 +165,22 @@
     }
 
     /// Takes the time between two tokens in.
-    pub fn observe_gap(&mut self, gap: Span, tokens: u32) {
+    pub fn record_token_gap(&mut self, gap: Span, tokens: u32) {
         let each = gap.as_secs_f64() / f64::from(tokens.max(1));
-        if self.gap == 0.0 {
-            self.gap = each;
+        if self.token_gap == 0.0 {
+            self.token_gap = each;
         }
-        self.gap += (each - self.gap) * GAP_STEP;
+        self.token_gap += (each - self.token_gap) * GAP_SMOOTHING;
     }
 
-    fn weight(&self, now: Time) -> f64 {
+    fn cost(&self, now: Time) -> f64 {
         (self.load(now) + 1.0) / f64::from(self.slots.max(1)) * self.slowness
     }
 
     fn has_slot(&self, now: Time) -> bool {
-        let congested = f64::from(self.slots) * CONGESTED;
+        let congested = f64::from(self.slots) * MAX_WAITING;
         let waiting = self.waiting(now).is_some_and(|w| f64::from(w) > congested);
-        self.outstanding < self.allowed && !waiting
+        self.outstanding < self.max_outstanding && !waiting
     }
 
     /// Whether it may get work.
@@ -199,8 +199,8 @@
     pub outstanding: u32,
     /// Replica of each slot of the group, one slot of every replica after the other.
     layout: Vec<Key<Upstream>>,
-    stale: bool,
-    places: u32,
+    layout_stale: bool,
+    max_outstanding: u32,
     /// Replicas where this router has slots.
     assigned: Vec<Key<Upstream>>,
     cursor: usize,
@@ -208,25 +208,25 @@
 
 impl Pool {
     /// Puts the replica at its place in the order again, after a change.
-    pub fn rank(&mut self, now: Time, arena: &mut Arena<Upstream>, key: Key<Upstream>) {
+    pub fn update_rank(&mut self, now: Time, arena: &mut Arena<Upstream>, key: Key<Upstream>) {
         let Some(up) = arena.get_mut(key) else {
             return;
         };
         let before = up.rank.take();
         if let Some(rank) = before {
-            self.ranked.remove(&(rank.load, up.tie, key));
+            self.ranked.remove(&(rank.load, up.tie_breaker, key));
         }
         if up.is_usable(now) {
-            let load = (up.weight(now) * 1000.0) as u32;
+            let load = (up.cost(now) * 1000.0) as u32;
             up.rank = Some(Rank { load, slots: up.slots });
-            self.ranked.insert((load, up.tie, key));
+            self.ranked.insert((load, up.tie_breaker, key));
         }
-        self.stale |= before.map(|r| r.slots) != up.rank.map(|r| r.slots);
+        self.layout_stale |= before.map(|r| r.slots) != up.rank.map(|r| r.slots);
     }
 
     /// Lays the slots of the usable replicas out: one of each in the order of names, then the
     /// next of each. A slice of the layout touches as many replicas as it can.
-    fn lay_out(&mut self, arena: &Arena<Upstream>) {
+    fn compute_layout(&mut self, arena: &Arena<Upstream>) {
         let usable = self.ranked.iter().filter_map(|(_, _, k)| Some((*k, arena.get(*k)?)));
         let mut usable: Vec<(&str, u32, Key<Upstream>)> =
             usable.map(|(k, u)| (u.name.as_str(), u.slots, k)).collect();
@@ -237,17 +237,17 @@
             let open = usable.iter().filter(|(_, slots, _)| *slots > round);
             self.layout.extend(open.map(|(_, _, k)| *k));
         }
-        self.stale = false;
+        self.layout_stale = false;
     }
 
     /// Gives this router the slots of `slice`, `headroom` times over; at least one.
     pub fn assign(&mut self, arena: &mut Arena<Upstream>, slice: Slice, headroom: f64) {
-        if self.stale {
-            self.lay_out(arena);
+        if self.layout_stale {
+            self.compute_layout(arena);
         }
         for key in self.assigned.drain(..) {
             if let Some(up) = arena.get_mut(key) {
-                up.allowed = 0;
+                up.max_outstanding = 0;
             }
         }
         let total = self.layout.len();
@@ -257,42 +257,42 @@
         let places = total as f64 * headroom;
         let (from, to) = ((slice.start * places).ceil(), (slice.end * places).ceil());
         let (from, to) = (from as usize, (to as usize).max(from as usize + 1));
-        self.places = (to - from) as u32;
+        self.max_outstanding = (to - from) as u32;
         for place in from..to {
             let key = self.layout[place % total];
             if let Some(up) = arena.get_mut(key) {
-                if up.allowed == 0 {
+                if up.max_outstanding == 0 {
                     self.assigned.push(key);
                 }
-                up.allowed += 1;
+                up.max_outstanding += 1;
             }
         }
     }
 
     /// Counts an attempt that begins at the replica.
-    pub fn begin(&mut self, now: Time, arena: &mut Arena<Upstream>, key: Key<Upstream>) {
+    pub fn start_attempt(&mut self, now: Time, arena: &mut Arena<Upstream>, key: Key<Upstream>) {
         if let Some(up) = arena.get_mut(key) {
             up.outstanding += 1;
             up.outlier.probe();
-            up.note(now);
+            up.record_history(now);
             self.outstanding += 1;
         }
-        self.rank(now, arena, key);
+        self.update_rank(now, arena, key);
     }
 
     /// Counts an attempt that is over at the replica.
-    pub fn end(&mut self, now: Time, arena: &mut Arena<Upstream>, key: Key<Upstream>) {
+    pub fn end_attempt(&mut self, now: Time, arena: &mut Arena<Upstream>, key: Key<Upstream>) {
         if let Some(up) = arena.get_mut(key) {
             up.outstanding = up.outstanding.saturating_sub(1);
-            up.note(now);
+            up.record_history(now);
             self.outstanding = self.outstanding.saturating_sub(1);
         }
-        self.rank(now, arena, key);
+        self.update_rank(now, arena, key);
     }
 
     /// Attempts that this router may have in the group.
-    pub fn allowed(&self) -> u32 {
-        self.places
+    pub fn max_outstanding(&self) -> u32 {
+        self.max_outstanding
     }
 
     /// Slots of the usable replicas.
@@ -301,14 +301,14 @@
     }
 
     /// Drops a replica that runs nothing.
-    pub fn forget(&mut self, key: Key<Upstream>, arena: &Arena<Upstream>) {
+    pub fn remove(&mut self, key: Key<Upstream>, arena: &Arena<Upstream>) {
         self.members.remove(&key);
         self.assigned.retain(|k| *k != key);
-        self.stale = true;
+        self.layout_stale = true;
         if let Some(up) = arena.get(key)
             && let Some(rank) = up.rank
         {
-            self.ranked.remove(&(rank.load, up.tie, key));
+            self.ranked.remove(&(rank.load, up.tie_breaker, key));
         }
     }
 
@@ -319,19 +319,19 @@
     }
 
     /// Compares the replicas' speed: slowness is the time between tokens against the median.
-    pub fn compare(&mut self, now: Time, arena: &mut Arena<Upstream>) {
+    pub fn update_slowness(&mut self, now: Time, arena: &mut Arena<Upstream>) {
         let keys: Vec<_> = self.members.iter().copied().collect();
-        let known = keys.iter().filter_map(|k| arena.get(*k)).map(|u| u.gap);
+        let known = keys.iter().filter_map(|k| arena.get(*k)).map(|u| u.token_gap);
         let mut gaps: Vec<f64> = known.filter(|g| *g > 0.0).collect();
         gaps.sort_by(f64::total_cmp);
         let median = gaps.get(gaps.len() / 2).copied().unwrap_or(0.0);
         for key in keys {
             if let Some(up) = arena.get_mut(key) {
-                let known = median > 0.0 && up.gap > 0.0 && gaps.len() >= 3;
-                let ratio = if known { up.gap / median } else { 1.0 };
+                let known = median > 0.0 && up.token_gap > 0.0 && gaps.len() >= 3;
+                let ratio = if known { up.token_gap / median } else { 1.0 };
                 up.slowness = if ratio > 1.5 { ratio.min(MAX_SLOWNESS) } else { 1.0 };
             }
-            self.rank(now, arena, key);
+            self.update_rank(now, arena, key);
         }
     }
 
@@ -343,28 +343,28 @@
         &mut self,
         now: Time,
         arena: &Arena<Upstream>,
-        wish: &Wish<'_>,
+        criteria: &Criteria<'_>,
     ) -> Option<Key<Upstream>> {
         let free = |k: &Key<Upstream>| {
             let open = arena.get(*k).filter(|u| u.is_usable(now) && u.has_slot(now));
-            open.is_some() && !wish.avoid.contains(k)
+            open.is_some() && !criteria.excluded.contains(k)
         };
         let n = self.assigned.len();
         let first = self.cursor;
-        let mut found = Vec::with_capacity(SCORED);
+        let mut found = Vec::with_capacity(MAX_SCORED);
         for at in (0..n).map(|i| (i + first) % n) {
             if free(&self.assigned[at]) {
                 found.push(self.assigned[at]);
                 self.cursor = at + 1;
             }
-            if found.len() == SCORED {
+            if found.len() == MAX_SCORED {
                 break;
             }
         }
         // A prefix can be known at another group's replicas too; work must never go there.
-        let held = wish.holders.iter().filter(|k| self.members.contains(k)).filter(|k| free(k));
+        let held = criteria.holders.iter().filter(|k| self.members.contains(k)).filter(|k| free(k));
         found.extend(held);
-        best(now, arena, &found, wish)
+        best(now, arena, &found, criteria)
     }
 
     /// The best replica for a request that may overfill engines, which honour its priority.
@@ -372,45 +372,46 @@
         &self,
         now: Time,
         arena: &Arena<Upstream>,
-        wish: &Wish<'_>,
+        criteria: &Criteria<'_>,
     ) -> Option<Key<Upstream>> {
         let room = |k: &Key<Upstream>| {
-            let full = |u: &Upstream| u.load(now) + 1.0 > f64::from(u.slots) * OVERFILL;
-            !wish.avoid.contains(k) && arena.get(*k).is_some_and(|u| u.is_usable(now) && !full(u))
+            let full = |u: &Upstream| u.load(now) + 1.0 > f64::from(u.slots) * MAX_URGENT_LOAD;
+            !criteria.excluded.contains(k)
+                && arena.get(*k).is_some_and(|u| u.is_usable(now) && !full(u))
         };
         let least = self.ranked.iter().map(|(_, _, k)| *k).filter(room);
-        let found: Vec<Key<Upstream>> = least.take(SCORED).collect();
-        best(now, arena, &found, wish)
+        let found: Vec<Key<Upstream>> = least.take(MAX_SCORED).collect();
+        best(now, arena, &found, criteria)
     }
 }
 
 /// What a request wants of a replica.
 #[derive(Clone, Copy, Debug)]
-pub struct Wish<'a> {
+pub struct Criteria<'a> {
     /// Replicas that hold its prompt's prefix.
     pub holders: &'a [Key<Upstream>],
     /// Replicas that failed it.
-    pub avoid: &'a [Key<Upstream>],
+    pub excluded: &'a [Key<Upstream>],
     /// Failure domain of the router.
     pub domain: &'a str,
     /// Part of the request's work that a held prefix spares.
-    pub spared: f64,
+    pub cached_share: f64,
 }
 
 fn best(
     now: Time,
     arena: &Arena<Upstream>,
     found: &[Key<Upstream>],
-    wish: &Wish<'_>,
+    criteria: &Criteria<'_>,
 ) -> Option<Key<Upstream>> {
     let score = |key: &Key<Upstream>| {
         let up = arena.get(*key)?;
-        let mut score = up.weight(now);
-        if wish.holders.contains(key) {
-            score -= wish.spared / f64::from(up.slots.max(1));
+        let mut score = up.cost(now);
+        if criteria.holders.contains(key) {
+            score -= criteria.cached_share / f64::from(up.slots.max(1));
         }
-        if up.failure_domain != wish.domain {
-            score += FOREIGN;
+        if up.failure_domain != criteria.domain {
+            score += OTHER_DOMAIN_COST;
         }
         Some((score, *key))
     };
