--- a/core/src/node/attempt.rs
+++ b/core/src/node/attempt.rs
@@ -146,7 +146,7 @@
         let Some(r) = self.requests.get(key) else {
             return;
         };
-        let class = self.index.class(r.place.class);
+        let class = self.index.class(r.flow.class);
         // Having been stopped for a higher tier is no failure.
         let failures = r.tries.saturating_sub(r.preempted);
         let allowed = (untouched || r.repeatable()) && failures < MAX_TRIES;
--- a/core/src/node/dispatch.rs
+++ b/core/src/node/dispatch.rs
@@ -88,7 +88,7 @@
             let victim = self.victim_for(now, group, key);
             let upstream = match victim {
                 Some((_, upstream)) => Some(upstream),
-                None => self.choose(now, group, key, next.due),
+                None => self.choose(now, group, key, next.trickle_due),
             };
             if let Some(upstream) = upstream {
                 if let Some(state) = self.groups.get_mut(&group) {
@@ -97,7 +97,7 @@
                 if let Some((victim, _)) = victim {
                     self.preempt(now, victim);
                 }
-                self.dispatch(now, key, upstream, next.due);
+                self.dispatch(now, key, upstream, next.trickle_due);
                 continue;
             }
             if let Some(state) = self.groups.get_mut(&group) {
@@ -115,7 +115,7 @@
         now: Time,
         group: GroupKey,
         key: Key<Request>,
-        due: bool,
+        trickle_due: bool,
     ) -> Option<Key<Upstream>> {
         let r = self.requests.get(key)?;
         let pool = &mut self.groups.get_mut(&group)?.pool;
@@ -128,7 +128,7 @@
         };
         let mut choose = |criteria: &Criteria<'_>| {
             let own = pool.choose(now, &self.upstreams, criteria);
-            let urgent = r.place.rule.protected || due;
+            let urgent = r.flow.rule.protected || trickle_due;
             own.or_else(|| urgent.then(|| pool.choose_urgent(now, &self.upstreams, criteria))?)
         };
         // If every other replica is gone or full, one that failed this request is better than none.
@@ -137,7 +137,13 @@
         })
     }
 
-    fn dispatch(&mut self, now: Time, key: Key<Request>, upstream: Key<Upstream>, due: bool) {
+    fn dispatch(
+        &mut self,
+        now: Time,
+        key: Key<Request>,
+        upstream: Key<Upstream>,
+        trickle_due: bool,
+    ) {
         let (Some(r), Some(up)) = (self.requests.get_mut(key), self.upstreams.get(upstream)) else {
             return;
         };
@@ -145,7 +151,7 @@
         let id = AttemptId(self.next_attempt);
         r.attempt = Some(Attempt { id, upstream, sent: now, last: now, answered: false });
         r.tries += 1;
-        r.lifted = due;
+        r.promoted = trickle_due;
         let request = match r.owner {
             super::request::Owner::Caller(id) => id,
             super::request::Owner::Key(_) => RequestId(0),
@@ -159,7 +165,7 @@
             body: r.submission.body.clone(),
             // Engines honour priorities strictly: a trickle that waited there behind every higher
             // tier would be none.
-            priority: if r.lifted { 0 } else { r.place.rule.tier },
+            priority: if r.promoted { 0 } else { r.flow.rule.tier },
             offset: r.delivered,
             partial: if r.delivered > 0 { r.text() } else { bytes::Bytes::new() },
         };
@@ -167,7 +173,7 @@
             self.prefixes.add(upstream, *prefix);
         }
         let (group, retry) = (r.group, r.tries > 1);
-        let tier = usize::from(r.place.rule.tier);
+        let tier = usize::from(r.flow.rule.tier);
         self.stats.dispatches += 1;
         if let Some(state) = self.groups.get_mut(&group) {
             state.pool.start_attempt(now, &mut self.upstreams, upstream);
@@ -200,7 +206,7 @@
         }
         let slots = f64::from(self.index.group(group).slots.max(1));
         let waited = now.since(r.arrived).as_secs_f64();
-        let target = self.index.class(r.place.class).first_token.as_secs_f64();
+        let target = self.index.class(r.flow.class).first_token.as_secs_f64();
         if waited + state.service / slots < target * PREEMPT_AT {
             return None;
         }
@@ -209,7 +215,7 @@
             let upstream = self.requests.get(key)?.attempt.as_ref()?.upstream;
             let up = self.upstreams.get(upstream)?;
             let there = up.is_usable(now) && up.slowness() < STRAGGLER_SLOWNESS;
-            let fit = *tier > r.place.rule.tier && there && !r.avoid.contains(&upstream);
+            let fit = *tier > r.flow.rule.tier && there && !r.avoid.contains(&upstream);
             fit.then_some((key, upstream))
         });
         fit.take(1).next()
@@ -221,12 +227,12 @@
         let Some(r) = self.requests.get(key) else {
             return;
         };
-        let may = r.repeatable() && !r.place.rule.protected && !r.lifted;
+        let may = r.repeatable() && !r.flow.rule.protected && !r.promoted;
         if may
             && r.preempted < MAX_PREEMPTIONS
             && let Some(state) = self.groups.get_mut(&r.group)
         {
-            state.victims.insert((r.place.rule.tier, id));
+            state.victims.insert((r.flow.rule.tier, id));
         }
     }
 
@@ -240,7 +246,7 @@
         r.touched = true;
         // Its caller already reads the answer: it may take as long as a whole one, not only as
         // long as a start.
-        let class = self.index.class(r.place.class);
+        let class = self.index.class(r.flow.class);
         let deadline = (r.arrived + class.finish).max(now + class.patience);
         self.enqueue(key, deadline);
     }
@@ -260,8 +266,8 @@
         self.attempts.remove(&attempt.id);
         if let Some(state) = self.groups.get_mut(&r.group) {
             state.pool.end_attempt(now, &mut self.upstreams, attempt.upstream);
-            state.running[usize::from(r.place.rule.tier)] -= 1;
-            state.victims.remove(&(r.place.rule.tier, attempt.id));
+            state.running[usize::from(r.flow.rule.tier)] -= 1;
+            state.victims.remove(&(r.flow.rule.tier, attempt.id));
             state.blocked = false;
         }
         Some(attempt)
@@ -294,7 +300,7 @@
             // It can't be tried elsewhere; only a truthful end is left to give.
             return SILENT_ONCE;
         }
-        match (attempt.answered, r.place.rule.protected) {
+        match (attempt.answered, r.flow.rule.protected) {
             (false, true) => SILENT_PROTECTED,
             (false, false) => SILENT,
             (true, true) => GAP_PROTECTED,
--- a/core/src/node/mod.rs
+++ b/core/src/node/mod.rs
@@ -311,7 +311,7 @@
 
     /// Queued requests of a class, over all groups.
     pub fn queued(&self, class: ClassKey) -> usize {
-        self.groups.values().map(|g| g.queue.len_of(class)).sum()
+        self.groups.values().map(|g| g.queue.class_len(class)).sum()
     }
 
     /// Whether callers may be sent here.
--- a/core/src/node/request.rs
+++ b/core/src/node/request.rs
@@ -16,8 +16,8 @@
 use crate::event::Target;
 use crate::idempotency;
 use crate::limit::Limit;
+use crate::queue::Flow;
 use crate::queue::Item;
-use crate::queue::Place;
 use crate::queue::Rule;
 use crate::stats::Ending;
 use crate::stats::Waste;
@@ -63,7 +63,7 @@
     /// Who gets the end.
     pub owner: Owner,
     /// Its class and organisation.
-    pub place: Place,
+    pub flow: Flow,
     /// Its group.
     pub group: GroupKey,
     /// When it came.
@@ -81,7 +81,7 @@
     /// How often it was stopped for a higher tier.
     pub preempted: u32,
     /// Its class's trickle let it go before higher tiers.
-    pub lifted: bool,
+    pub promoted: bool,
     /// A byte of an attempt that is over may have reached an upstream that may act on it.
     pub touched: bool,
     /// Tokens delivered.
@@ -123,7 +123,7 @@
 
 /// A resolved submission.
 struct Resolved {
-    place: Place,
+    flow: Flow,
     group: GroupKey,
 }
 
@@ -156,10 +156,10 @@
                 return;
             }
         };
-        self.stats.receive(resolved.place.class, resolved.place.org);
+        self.stats.receive(resolved.flow.class, resolved.flow.org);
         if let Err((owner, outcome)) = self.admit(now, owner, s, &resolved) {
             let ending = Ending { first_token: None, finish: Span(0), attained: false };
-            self.stats.end(resolved.place.class, resolved.place.org, ending, &outcome);
+            self.stats.end(resolved.flow.class, resolved.flow.org, ending, &outcome);
             self.finish_owner(owner, outcome);
         }
     }
@@ -180,7 +180,7 @@
         let rules = index.class(class);
         let rule = Rule { tier: rules.tier, protected: rules.protected, trickle: rules.trickle };
         let weight = index.organisation(org).weight;
-        Ok(Resolved { place: Place { class, rule, org, weight }, group })
+        Ok(Resolved { flow: Flow { class, rule, org, weight }, group })
     }
 
     fn admit(
@@ -190,17 +190,17 @@
         submission: Box<Submission>,
         to: &Resolved,
     ) -> Result<(), (Owner, Outcome)> {
-        let patience = self.index.class(to.place.class).patience;
-        let org = self.index.organisation(to.place.org);
+        let patience = self.index.class(to.flow.class).patience;
+        let org = self.index.organisation(to.flow.org);
         let limit = Limit { requests: org.requests_per_second, tokens: org.tokens_per_second };
         let bound = if submission.max_tokens == 0 { u32::MAX } else { submission.max_tokens };
-        let estimate = self.estimate.output(to.place.class, to.place.org).min(bound);
+        let estimate = self.estimate.output(to.flow.class, to.flow.org).min(bound);
 
         if let Err(outcome) = self.check_queue(now, to, patience) {
             return Err((owner, outcome));
         }
         let routers = self.routers;
-        if let Err(wait) = self.limits.take(now, to.place.org, limit, estimate, routers) {
+        if let Err(wait) = self.limits.take(now, to.flow.org, limit, estimate, routers) {
             return Err((owner, not_run(Reason::OverLimit, wait)));
         }
 
@@ -210,7 +210,7 @@
         };
         let request = Request {
             owner,
-            place: to.place,
+            flow: to.flow,
             group: to.group,
             arrived: now,
             submission,
@@ -219,7 +219,7 @@
             tries: 0,
             avoid: Vec::new(),
             preempted: 0,
-            lifted: false,
+            promoted: false,
             touched: false,
             delivered: 0,
             parts: Vec::new(),
@@ -243,7 +243,7 @@
         if state.queue.is_empty() {
             return Ok(());
         }
-        let wait = state.queue.wait(now, to.place);
+        let wait = state.queue.estimated_wait(now, to.flow);
         if wait > patience && wait > SHORT_WAIT {
             let over = Span(wait.0 - patience.0).max(RETRY_SOON);
             return Err(not_run(Reason::Overloaded, over));
@@ -251,7 +251,7 @@
         if state.queue.len() < MAX_QUEUED {
             return Ok(());
         }
-        match state.queue.victim(to.place.rule.tier) {
+        match state.queue.victim(to.flow.rule.tier) {
             Some(victim) => {
                 self.refuse_queued(now, victim, not_run(Reason::Shed, wait.max(RETRY_SOON)));
                 Ok(())
@@ -268,9 +268,9 @@
         let item = r.item(key, deadline);
         let state = self.groups.entry(r.group).or_default();
         if r.tries > 0 {
-            state.queue.push_front(r.place, item);
+            state.queue.push_front(r.flow, item);
         } else {
-            state.queue.push(r.place, item);
+            state.queue.push(r.flow, item);
         }
     }
 
@@ -278,7 +278,7 @@
     pub(super) fn expire(&mut self, now: Time) {
         let mut due = Vec::new();
         for state in self.groups.values() {
-            due.extend(state.queue.expired(now));
+            due.extend(state.queue.first_expired(now));
         }
         while let Some(key) = due.pop() {
             let Some(r) = self.requests.get(key) else {
@@ -287,7 +287,7 @@
             let group = r.group;
             let outcome = r.fallback(Reason::Overloaded, RETRY_SOON);
             self.refuse_queued(now, key, outcome);
-            due.extend(self.groups.get(&group).and_then(|s| s.queue.expired(now)));
+            due.extend(self.groups.get(&group).and_then(|s| s.queue.first_expired(now)));
         }
     }
 
@@ -297,7 +297,7 @@
             return;
         };
         if let Some(state) = self.groups.get_mut(&r.group) {
-            state.queue.remove(r.place, key);
+            state.queue.remove(r.flow, key);
         }
         self.finish(now, key, outcome);
     }
@@ -307,25 +307,25 @@
         let Some(r) = self.requests.remove(key) else {
             return;
         };
-        let class = self.index.class(r.place.class);
+        let class = self.index.class(r.flow.class);
         let first_token = r.first.map(|f| f.since(r.arrived));
         let finish = now.since(r.arrived);
         let attained =
             finish <= class.finish && first_token.is_some_and(|f| f <= class.first_token);
         self.stats.end(
-            r.place.class,
-            r.place.org,
+            r.flow.class,
+            r.flow.org,
             Ending { first_token, finish, attained },
             &outcome,
         );
         match &outcome {
             Outcome::Whole { tokens, .. } => {
-                self.estimate.learn(r.place.class, r.place.org, *tokens);
-                self.limits.settle(r.place.org, r.estimate, *tokens);
+                self.estimate.learn(r.flow.class, r.flow.org, *tokens);
+                self.limits.settle(r.flow.org, r.estimate, *tokens);
             }
             Outcome::Refused(_) => {
                 self.stats.waste(Waste::Incomplete, r.delivered);
-                self.limits.settle(r.place.org, r.estimate, r.delivered);
+                self.limits.settle(r.flow.org, r.estimate, r.delivered);
             }
         }
         self.finish_owner(r.owner, outcome);
@@ -358,7 +358,7 @@
         let group = r.group;
         if r.attempt.is_none() {
             if let Some(state) = self.groups.get_mut(&group) {
-                state.queue.remove(r.place, key);
+                state.queue.remove(r.flow, key);
             }
         } else if r.repeatable() {
             self.cancel_attempt(now, key);
@@ -367,7 +367,7 @@
         }
         if let Some(r) = self.requests.remove(key) {
             self.stats.waste(Waste::CallerGone, r.delivered);
-            self.limits.settle(r.place.org, r.estimate, r.delivered);
+            self.limits.settle(r.flow.org, r.estimate, r.delivered);
         }
         self.pump(now, group);
     }
--- a/core/src/queue.rs
+++ b/core/src/queue.rs
@@ -20,13 +20,13 @@
 use crate::time::Time;
 
 /// Tokens an organisation of weight 1 may send in a turn.
-const QUANTUM: f64 = 512.0;
+const QUANTUM_TOKENS: f64 = 512.0;
 /// Time constant of the measured rates, in seconds.
-const RATE_WINDOW: f64 = 2.0;
+const RATE_TIME_CONSTANT_S: f64 = 2.0;
 /// Lines looked at for an estimate of the wait.
-const SAMPLE: usize = 64;
+const MAX_SAMPLED: usize = 64;
 /// Least rate assumed, in tokens a second, before anything was measured.
-const RATE_FLOOR: f64 = 50.0;
+const MIN_RATE: f64 = 50.0;
 
 /// A queued request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -41,13 +41,13 @@
 
 /// The request that goes next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Next {
+pub struct Selection {
     /// Its class.
     pub class: ClassKey,
     /// The request.
     pub item: Item,
     /// Its class's trickle is due: it goes before higher tiers, everywhere on its way.
-    pub due: bool,
+    pub trickle_due: bool,
 }
 
 /// Rules of a class that the queue needs.
@@ -63,7 +63,7 @@
 
 /// Where a request stands in line: its class and organisation, and their rules.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct Flow {
     /// Its class.
     pub class: ClassKey,
     /// Rules of the class.
@@ -75,19 +75,19 @@
 }
 
 #[derive(Debug)]
-struct Line {
+struct Backlog {
     items: VecDeque<Item>,
     deficit: f64,
     weight: f64,
     cost: u64,
-    in_turn: bool,
+    in_rotation: bool,
 }
 
 #[derive(Debug)]
 struct Class {
     rule: Rule,
-    lines: BTreeMap<OrgKey, Line>,
-    turns: VecDeque<OrgKey>,
+    backlogs: BTreeMap<OrgKey, Backlog>,
+    rotation: VecDeque<OrgKey>,
     credit: f64,
     len: usize,
     cost: u64,
@@ -104,18 +104,18 @@
 impl Rate {
     fn decay(&mut self, now: Time) {
         let elapsed = now.since(self.at).as_secs_f64();
-        self.value *= (-elapsed / RATE_WINDOW).exp();
+        self.value *= (-elapsed / RATE_TIME_CONSTANT_S).exp();
         self.at = now;
     }
 
     fn add(&mut self, now: Time, tokens: u32) {
         self.decay(now);
-        self.value += f64::from(tokens) / RATE_WINDOW;
+        self.value += f64::from(tokens) / RATE_TIME_CONSTANT_S;
     }
 
     fn get(&self, now: Time) -> f64 {
         let elapsed = now.since(self.at).as_secs_f64();
-        self.value * (-elapsed / RATE_WINDOW).exp()
+        self.value * (-elapsed / RATE_TIME_CONSTANT_S).exp()
     }
 }
 
@@ -132,8 +132,8 @@
     fn new(rule: Rule) -> Class {
         Class {
             rule,
-            lines: BTreeMap::new(),
-            turns: VecDeque::new(),
+            backlogs: BTreeMap::new(),
+            rotation: VecDeque::new(),
             credit: 0.0,
             len: 0,
             cost: 0,
@@ -143,24 +143,24 @@
 
     fn push(&mut self, org: OrgKey, weight: u32, item: Item, front: bool) {
         let weight = f64::from(weight.max(1));
-        let line = self.lines.entry(org).or_insert_with(|| Line {
+        let backlog = self.backlogs.entry(org).or_insert_with(|| Backlog {
             items: VecDeque::new(),
             deficit: 0.0,
             weight,
             cost: 0,
-            in_turn: false,
+            in_rotation: false,
         });
         if front {
-            line.items.push_front(item);
+            backlog.items.push_front(item);
         } else {
-            line.items.push_back(item);
+            backlog.items.push_back(item);
         }
-        line.cost += u64::from(item.cost);
-        if !line.in_turn {
-            line.in_turn = true;
-            line.deficit = 0.0;
-            self.turns.push_back(org);
-            self.weight += line.weight;
+        backlog.cost += u64::from(item.cost);
+        if !backlog.in_rotation {
+            backlog.in_rotation = true;
+            backlog.deficit = 0.0;
+            self.rotation.push_back(org);
+            self.weight += backlog.weight;
         }
         self.len += 1;
         self.cost += u64::from(item.cost);
@@ -169,47 +169,47 @@
     /// The organisation whose head goes next, after as many turns as that takes.
     fn advance(&mut self) -> Option<OrgKey> {
         loop {
-            let org = *self.turns.front()?;
-            let line = self.lines.get_mut(&org)?;
-            let Some(head) = line.items.front() else {
-                self.retire();
+            let org = *self.rotation.front()?;
+            let backlog = self.backlogs.get_mut(&org)?;
+            let Some(head) = backlog.items.front() else {
+                self.remove_front();
                 continue;
             };
-            if line.deficit >= f64::from(head.cost) {
+            if backlog.deficit >= f64::from(head.cost) {
                 return Some(org);
             }
-            line.deficit += QUANTUM * line.weight;
-            if line.deficit < f64::from(head.cost) {
-                self.turns.rotate_left(1);
+            backlog.deficit += QUANTUM_TOKENS * backlog.weight;
+            if backlog.deficit < f64::from(head.cost) {
+                self.rotation.rotate_left(1);
             }
         }
     }
 
     /// Takes the organisation at the front, whose line is empty, out of the turns.
-    fn retire(&mut self) {
-        if let Some(org) = self.turns.pop_front()
-            && let Some(line) = self.lines.remove(&org)
+    fn remove_front(&mut self) {
+        if let Some(org) = self.rotation.pop_front()
+            && let Some(backlog) = self.backlogs.remove(&org)
         {
-            self.weight -= line.weight;
+            self.weight -= backlog.weight;
         }
     }
 
     fn head(&mut self) -> Option<Item> {
         let org = self.advance()?;
-        self.lines.get(&org)?.items.front().copied()
+        self.backlogs.get(&org)?.items.front().copied()
     }
 
     fn pop(&mut self) -> Option<Item> {
         let org = self.advance()?;
-        let line = self.lines.get_mut(&org)?;
-        let item = line.items.pop_front()?;
-        line.deficit -= f64::from(item.cost);
-        line.cost -= u64::from(item.cost);
-        let spent = line.items.front().is_none_or(|h| line.deficit < f64::from(h.cost));
-        if line.items.is_empty() {
-            self.retire();
-        } else if spent {
-            self.turns.rotate_left(1);
+        let backlog = self.backlogs.get_mut(&org)?;
+        let item = backlog.items.pop_front()?;
+        backlog.deficit -= f64::from(item.cost);
+        backlog.cost -= u64::from(item.cost);
+        let turn_over = backlog.items.front().is_none_or(|h| backlog.deficit < f64::from(h.cost));
+        if backlog.items.is_empty() {
+            self.remove_front();
+        } else if turn_over {
+            self.rotation.rotate_left(1);
         }
         self.len -= 1;
         self.cost -= u64::from(item.cost);
@@ -217,31 +217,31 @@
     }
 
     fn remove(&mut self, org: OrgKey, request: Key<Request>) -> Option<Item> {
-        let line = self.lines.get_mut(&org)?;
-        let at = line.items.iter().position(|i| i.request == request)?;
-        let item = line.items.remove(at)?;
-        line.cost -= u64::from(item.cost);
+        let backlog = self.backlogs.get_mut(&org)?;
+        let at = backlog.items.iter().position(|i| i.request == request)?;
+        let item = backlog.items.remove(at)?;
+        backlog.cost -= u64::from(item.cost);
         self.len -= 1;
         self.cost -= u64::from(item.cost);
         Some(item)
     }
 
     /// Tokens that go before a new request of `org`: of every other line, as much as its turns
-    /// allow until the line of `org` is through. A sample of lines stands for all of a long list.
-    fn ahead(&self, org: OrgKey, weight: u32) -> f64 {
-        let own = self.lines.get(&org).map_or(0, |l| l.cost) as f64;
-        let turns = own / f64::from(weight.max(1));
-        let sample = self.lines.range(org..).chain(self.lines.range(..org)).take(SAMPLE);
-        let sampled: f64 = sample.map(|(_, l)| (l.cost as f64).min(turns * l.weight)).sum();
-        let scale = self.lines.len() as f64 / self.lines.len().clamp(1, SAMPLE) as f64;
+    /// allow until the line of `org` is through. A sample of backlogs stands for all of a long list.
+    fn tokens_ahead(&self, org: OrgKey, weight: u32) -> f64 {
+        let own = self.backlogs.get(&org).map_or(0, |b| b.cost) as f64;
+        let rounds = own / f64::from(weight.max(1));
+        let sample = self.backlogs.range(org..).chain(self.backlogs.range(..org)).take(MAX_SAMPLED);
+        let sampled: f64 = sample.map(|(_, b)| (b.cost as f64).min(rounds * b.weight)).sum();
+        let scale = self.backlogs.len() as f64 / self.backlogs.len().clamp(1, MAX_SAMPLED) as f64;
         (sampled * scale).max(own).min(self.cost as f64)
     }
 
     /// The newest request of the organisation with the most queued tokens.
-    fn last_of_longest(&self) -> Option<(OrgKey, Item)> {
-        let longest = self.lines.iter().filter(|(_, l)| !l.items.is_empty());
-        let (org, line) = longest.max_by_key(|(_, l)| l.cost)?;
-        line.items.back().map(|i| (*org, *i))
+    fn newest_of_longest(&self) -> Option<(OrgKey, Item)> {
+        let longest = self.backlogs.iter().filter(|(_, b)| !b.items.is_empty());
+        let (org, backlog) = longest.max_by_key(|(_, b)| b.cost)?;
+        backlog.items.back().map(|i| (*org, *i))
     }
 }
 
@@ -268,34 +268,34 @@
     }
 
     /// Queued requests of `class`.
-    pub fn len_of(&self, class: ClassKey) -> usize {
+    pub fn class_len(&self, class: ClassKey) -> usize {
         self.classes.get(&class).map_or(0, |c| c.len)
     }
 
     /// Adds a request behind those of its place.
-    pub fn push(&mut self, place: Place, item: Item) {
-        self.insert(place, item, false);
+    pub fn push(&mut self, flow: Flow, item: Item) {
+        self.insert(flow, item, false);
     }
 
     /// Adds a request that already ran in front of its place.
-    pub fn push_front(&mut self, place: Place, item: Item) {
-        self.insert(place, item, true);
+    pub fn push_front(&mut self, flow: Flow, item: Item) {
+        self.insert(flow, item, true);
     }
 
-    fn insert(&mut self, place: Place, item: Item, front: bool) {
-        let entry = self.classes.entry(place.class);
-        let class = entry.or_insert_with(|| Class::new(place.rule));
-        class.rule = place.rule;
-        class.push(place.org, place.weight, item, front);
+    fn insert(&mut self, flow: Flow, item: Item, front: bool) {
+        let entry = self.classes.entry(flow.class);
+        let class = entry.or_insert_with(|| Class::new(flow.rule));
+        class.rule = flow.rule;
+        class.push(flow.org, flow.weight, item, front);
         self.expiry.insert((item.deadline, item.request));
         self.len += 1;
     }
 
     /// The request that goes next, of tier `tier` or higher: one of a class whose trickle is due,
     /// else by tier and deadline.
-    pub fn peek(&mut self, tier: u8) -> Option<Next> {
-        let mut best: Option<(u8, Time, Next)> = None;
-        let mut due: Option<(f64, Next)> = None;
+    pub fn peek(&mut self, tier: u8) -> Option<Selection> {
+        let mut best: Option<(u8, Time, Selection)> = None;
+        let mut trickle_due: Option<(f64, Selection)> = None;
         for (key, class) in &mut self.classes {
             if class.len == 0 || class.rule.tier > tier {
                 continue;
@@ -303,21 +303,21 @@
             let Some(item) = class.head() else {
                 continue;
             };
-            let next = Next { class: *key, item, due: false };
+            let next = Selection { class: *key, item, trickle_due: false };
             let spare = class.credit - f64::from(item.cost);
-            if spare >= 0.0 && due.is_none_or(|(s, _)| spare > s) {
-                due = Some((spare, Next { due: true, ..next }));
+            if spare >= 0.0 && trickle_due.is_none_or(|(s, _)| spare > s) {
+                trickle_due = Some((spare, Selection { trickle_due: true, ..next }));
             }
             let rank = (class.rule.tier, item.deadline);
             if best.is_none_or(|(tier, deadline, _)| rank < (tier, deadline)) {
                 best = Some((rank.0, rank.1, next));
             }
         }
-        due.map(|(_, next)| next).or(best.map(|(_, _, next)| next))
+        trickle_due.map(|(_, next)| next).or(best.map(|(_, _, next)| next))
     }
 
     /// Takes out what [`Queue::peek`] named, and counts it as dispatched.
-    pub fn take(&mut self, now: Time, next: Next) {
+    pub fn take(&mut self, now: Time, next: Selection) {
         let Some(item) = self.classes.get_mut(&next.class).and_then(Class::pop) else {
             return;
         };
@@ -336,16 +336,16 @@
     }
 
     /// Takes a request out whose caller has gone.
-    pub fn remove(&mut self, place: Place, request: Key<Request>) {
-        let class = self.classes.get_mut(&place.class);
-        if let Some(item) = class.and_then(|c| c.remove(place.org, request)) {
+    pub fn remove(&mut self, flow: Flow, request: Key<Request>) {
+        let class = self.classes.get_mut(&flow.class);
+        if let Some(item) = class.and_then(|c| c.remove(flow.org, request)) {
             self.expiry.remove(&(item.deadline, item.request));
             self.len -= 1;
         }
     }
 
     /// The request whose deadline passed first, if one did.
-    pub fn expired(&self, now: Time) -> Option<Key<Request>> {
+    pub fn first_expired(&self, now: Time) -> Option<Key<Request>> {
         self.expiry.first().filter(|(deadline, _)| *deadline <= now).map(|(_, r)| *r)
     }
 
@@ -354,7 +354,7 @@
     pub fn victim(&self, tier: u8) -> Option<Key<Request>> {
         let lower = self.classes.values().filter(|c| c.rule.tier > tier && c.len > 0);
         let lowest = lower.filter(|c| !c.rule.protected).max_by_key(|c| c.rule.tier)?;
-        lowest.last_of_longest().map(|(_, i)| i.request)
+        lowest.newest_of_longest().map(|(_, i)| i.request)
     }
 
     /// How long a new request would wait, by the measured rate.
@@ -362,17 +362,17 @@
     /// Ahead of it are the tokens of higher tiers and its organisation's fair part of its own.
     /// Higher tiers that are still to come are left out: bursts end, and work refused for one
     /// that has just ended would leave engines idle.
-    pub fn wait(&self, now: Time, place: Place) -> Span {
+    pub fn estimated_wait(&self, now: Time, flow: Flow) -> Span {
         let mut ahead = 0.0;
         for (key, other) in &self.classes {
             let tier = other.rule.tier;
-            if tier < place.rule.tier || (tier == place.rule.tier && *key != place.class) {
+            if tier < flow.rule.tier || (tier == flow.rule.tier && *key != flow.class) {
                 ahead += other.cost as f64;
             }
         }
-        if let Some(own) = self.classes.get(&place.class) {
-            ahead += own.ahead(place.org, place.weight);
+        if let Some(own) = self.classes.get(&flow.class) {
+            ahead += own.tokens_ahead(flow.org, flow.weight);
         }
-        Span::from_secs_f64(ahead / self.dispatched.get(now).max(RATE_FLOOR))
+        Span::from_secs_f64(ahead / self.dispatched.get(now).max(MIN_RATE))
     }
 }
