--- a/core/src/estimate.rs
+++ b/core/src/estimate.rs
@@ -8,9 +8,9 @@
 use crate::config::ClassKey;
 use crate::config::OrgKey;
 
-const FIRST_GUESS: f32 = 128.0;
-const STEP: f32 = 0.05;
-const ENOUGH: u32 = 8;
+const INITIAL_TOKENS: f32 = 128.0;
+const MIN_STEP: f32 = 0.05;
+const MIN_SAMPLES: u32 = 8;
 
 #[derive(Clone, Copy, Debug)]
 struct Mean {
@@ -19,32 +19,32 @@
 }
 
 impl Mean {
-    fn learn(&mut self, tokens: f32) {
+    fn add(&mut self, tokens: f32) {
         self.count = self.count.saturating_add(1);
-        let step = (1.0 / self.count as f32).max(STEP);
+        let step = (1.0 / self.count as f32).max(MIN_STEP);
         self.value += (tokens - self.value) * step;
     }
 }
 
 /// Mean output tokens by class and organisation.
 #[derive(Debug, Default)]
-pub struct Estimate {
+pub struct Estimator {
     by_class: BTreeMap<ClassKey, Mean>,
     by_org: BTreeMap<(ClassKey, OrgKey), Mean>,
 }
 
-impl Estimate {
+impl Estimator {
     /// Tokens that a request is expected to produce, at least 1.
-    pub fn output(&self, class: ClassKey, org: OrgKey) -> u32 {
-        let own = self.by_org.get(&(class, org)).filter(|m| m.count >= ENOUGH);
+    pub fn output_tokens(&self, class: ClassKey, org: OrgKey) -> u32 {
+        let own = self.by_org.get(&(class, org)).filter(|m| m.count >= MIN_SAMPLES);
         let mean = own.or_else(|| self.by_class.get(&class));
-        mean.map_or(FIRST_GUESS, |m| m.value).max(1.0) as u32
+        mean.map_or(INITIAL_TOKENS, |m| m.value).max(1.0) as u32
     }
 
     /// Takes the length of a whole answer in.
-    pub fn learn(&mut self, class: ClassKey, org: OrgKey, tokens: u32) {
-        let first = Mean { value: FIRST_GUESS, count: 0 };
-        self.by_class.entry(class).or_insert(first).learn(tokens as f32);
-        self.by_org.entry((class, org)).or_insert(first).learn(tokens as f32);
+    pub fn add(&mut self, class: ClassKey, org: OrgKey, tokens: u32) {
+        let first = Mean { value: INITIAL_TOKENS, count: 0 };
+        self.by_class.entry(class).or_insert(first).add(tokens as f32);
+        self.by_org.entry((class, org)).or_insert(first).add(tokens as f32);
     }
 }
--- a/core/src/node/attempt.rs
+++ b/core/src/node/attempt.rs
@@ -29,15 +29,15 @@
 }
 
 impl Node {
-    pub(super) fn frame(&mut self, now: Time, attempt: AttemptId, frame: Frame) {
+    pub(super) fn on_frame(&mut self, now: Time, attempt: AttemptId, frame: Frame) {
         let Some(key) = self.attempts.get(&attempt).copied() else {
             // A frame of an attempt that is over: it must not reach a later attempt's caller.
-            self.stats.waste(Waste::Late, frame.tokens);
+            self.stats.record_waste(Waste::Late, frame.tokens);
             return;
         };
         if frame.echo != attempt {
             // The upstream crossed two streams; nothing of this one can be trusted from here on.
-            self.failed(now, attempt, Failure::Misattributed);
+            self.on_failed(now, attempt, Failure::Misattributed);
             return;
         }
         let Some(r) = self.requests.get_mut(key) else {
@@ -46,39 +46,39 @@
         let Some(a) = r.attempt.as_mut() else {
             return;
         };
-        let (upstream, gap) = (a.upstream, a.answered.then(|| now.since(a.last)));
-        a.last = now;
+        let (upstream, gap) = (a.upstream, a.answered.then(|| now.since(a.last_frame)));
+        a.last_frame = now;
         let first = !std::mem::replace(&mut a.answered, true);
         if frame.offset < r.delivered {
             // A duplicate frame, or a resumed engine that began again too early.
-            self.stats.waste(Waste::Late, frame.tokens);
+            self.stats.record_waste(Waste::Late, frame.tokens);
             return;
         }
         if frame.offset > r.delivered {
-            self.failed(now, attempt, Failure::Broken);
+            self.on_failed(now, attempt, Failure::Broken);
             return;
         }
         r.delivered = r.delivered.saturating_add(frame.tokens);
         r.first.get_or_insert(now);
         r.parts.push(frame.text.clone());
-        if let Some(request) = r.streams_to() {
+        if let Some(request) = r.streaming_caller() {
             let (tokens, text) = (frame.tokens, frame.text);
             self.out.push(Action::Deliver { request, tokens, text });
         }
         if first {
-            self.note_victim(key, attempt);
+            self.mark_preemptible(key, attempt);
         }
         if let (Some(gap), Some(up)) = (gap, self.upstreams.get_mut(upstream)) {
             up.record_token_gap(gap, frame.tokens);
         }
     }
 
-    pub(super) fn ended(&mut self, now: Time, attempt: AttemptId, echo: AttemptId, status: u16) {
+    pub(super) fn on_ended(&mut self, now: Time, attempt: AttemptId, echo: AttemptId, status: u16) {
         let Some(key) = self.attempts.get(&attempt).copied() else {
             return;
         };
         if echo != attempt {
-            self.failed(now, attempt, Failure::Misattributed);
+            self.on_failed(now, attempt, Failure::Misattributed);
             return;
         }
         let Some(r) = self.requests.get_mut(key) else {
@@ -87,27 +87,27 @@
         let kind = self.index.group(r.group).kind;
         if kind == Kind::Engine && status >= SERVER_ERROR {
             r.parts.clear();
-            self.failed(now, attempt, Failure::Broken);
+            self.on_failed(now, attempt, Failure::Broken);
             return;
         }
         r.first.get_or_insert(now);
-        let text = if r.streams_to().is_some() { Bytes::new() } else { r.text() };
+        let text = if r.streaming_caller().is_some() { Bytes::new() } else { r.text() };
         let outcome = Outcome::Whole { status, text, tokens: r.delivered };
         let group = r.group;
         if let Some(a) = self.release(now, key)
             && let Some(up) = self.upstreams.get_mut(a.upstream)
         {
-            up.outlier.success();
+            up.outlier.record_success();
             if let Some(state) = self.groups.get_mut(&group) {
-                state.observe_service(now.since(a.sent));
+                state.record_attempt_time(now.since(a.sent));
                 state.pool.update_rank(now, &mut self.upstreams, a.upstream);
             }
         }
         self.finish(now, key, outcome);
-        self.pump(now, group);
+        self.dispatch_queued(now, group);
     }
 
-    pub(super) fn failed(&mut self, now: Time, attempt: AttemptId, failure: Failure) {
+    pub(super) fn on_failed(&mut self, now: Time, attempt: AttemptId, failure: Failure) {
         let Some(key) = self.attempts.get(&attempt).copied() else {
             return;
         };
@@ -117,7 +117,7 @@
         let group = r.group;
         let safe_refusal = self.index.group(group).safe_refusals;
         // Only then did nothing reach an upstream that may act on it.
-        let untouched = match failure {
+        let not_run = match failure {
             // Saying that it is leaving, an upstream promises that it did not begin.
             Failure::Connect | Failure::Leaving => true,
             Failure::Refused => safe_refusal,
@@ -132,40 +132,40 @@
         if matches!(failure, Failure::Broken | Failure::Misattributed) {
             self.out.push(Action::Cancel(a.id));
         }
-        self.blame(now, a.upstream, failure);
+        self.record_failure(now, a.upstream, failure);
         if let Some(r) = self.requests.get_mut(key) {
-            r.avoid.push(a.upstream);
-            r.touched |= !untouched;
+            r.failed_upstreams.push(a.upstream);
+            r.may_have_run |= !not_run;
         }
-        self.retry_or_end(now, key, untouched);
-        self.pump(now, group);
+        self.retry_or_end(now, key, not_run);
+        self.dispatch_queued(now, group);
     }
 
     /// Sends a request to the queue again if that is allowed, or ends it truthfully.
-    fn retry_or_end(&mut self, now: Time, key: Key<Request>, untouched: bool) {
+    fn retry_or_end(&mut self, now: Time, key: Key<Request>, not_run: bool) {
         let Some(r) = self.requests.get(key) else {
             return;
         };
         let class = self.index.class(r.flow.class);
         // Having been stopped for a higher tier is no failure.
-        let failures = r.tries.saturating_sub(r.preempted);
-        let allowed = (untouched || r.repeatable()) && failures < MAX_TRIES;
+        let failures = r.attempt_count.saturating_sub(r.preemptions);
+        let allowed = (not_run || r.is_idempotent()) && failures < MAX_TRIES;
         let deadline = (r.arrived + class.patience).max(now + class.first_token);
         // Going on with a stream saves what it has; only work done again counts as added load.
         let again = r.delivered == 0;
         let state = self.groups.get_mut(&r.group);
-        let budget = !again || (allowed && state.is_some_and(|s| s.budget.spend()));
-        if allowed && budget && !self.stopping.gives_up() {
+        let budget = !again || (allowed && state.is_some_and(|s| s.budget.try_withdraw()));
+        if allowed && budget && !self.stopping.is_done() {
             self.stats.retries += 1;
             self.enqueue(key, deadline);
             return;
         }
-        let outcome = r.fallback(Reason::UpstreamFailed, RETRY_AFTER);
+        let outcome = r.failure_outcome(Reason::UpstreamFailed, RETRY_AFTER);
         self.finish(now, key, outcome);
     }
 
     /// Counts a failure against an upstream.
-    fn blame(&mut self, now: Time, key: Key<crate::upstream::Upstream>, failure: Failure) {
+    fn record_failure(&mut self, now: Time, key: Key<crate::upstream::Upstream>, failure: Failure) {
         let Some(up) = self.upstreams.get_mut(key) else {
             return;
         };
@@ -180,7 +180,7 @@
             Failure::Connect | Failure::Broken | Failure::Misattributed => {
                 let may_eject = state.pool.may_eject(&self.upstreams);
                 if let Some(up) = self.upstreams.get_mut(key) {
-                    up.outlier.failure(now, may_eject);
+                    up.outlier.record_failure(now, may_eject);
                 }
             }
         }
@@ -188,7 +188,7 @@
         let line = Line::new("attempt_failed").with("upstream", name);
         self.out.push(Action::Log(line.with("failure", format!("{failure:?}").to_lowercase())));
         if failure == Failure::Leaving {
-            self.note_leaving(now, key);
+            self.announce_leaving(now, key);
         }
     }
 
@@ -196,19 +196,19 @@
     ///
     /// An open connection can go silent for good while new ones work, and an engine can hang with
     /// its socket open. Neither ends the stream, so only time shows it.
-    pub(super) fn check_stalls(&mut self, now: Time) {
+    pub(super) fn fail_stalled(&mut self, now: Time) {
         if !self.control.stalls_due(now) {
             return;
         }
         let running = self.attempts.iter().filter_map(|(id, key)| {
             let r = self.requests.get(*key)?;
             let a = r.attempt.as_ref()?;
-            (now.since(a.last) >= self.patience_of(r, a)).then_some(*id)
+            (now.since(a.last_frame) >= self.max_silence(r, a)).then_some(*id)
         });
         let silent: Vec<AttemptId> = running.collect();
         for id in silent {
             self.stats.stalls += 1;
-            self.failed(now, id, Failure::Broken);
+            self.on_failed(now, id, Failure::Broken);
         }
     }
 }
--- a/core/src/node/control.rs
+++ b/core/src/node/control.rs
@@ -87,7 +87,7 @@
         let small = self.members.live().count() < cell::SMALL;
         let every = if small { DEMAND_FAST } else { DEMAND_SLOW };
         if due(&mut self.control.demand, now, every) {
-            self.tell_demand(now, Vec::new());
+            self.send_demand(now, Vec::new());
         }
         if due(&mut self.control.slow, now, SLOW_CHECK) {
             self.tick_slow(now);
--- a/core/src/node/dispatch.rs
+++ b/core/src/node/dispatch.rs
@@ -51,28 +51,28 @@
     }
 
     /// Whether more is wanted than this router's slots hold.
-    fn saturated(&self) -> bool {
+    fn is_saturated(&self) -> bool {
         !self.queue.is_empty() || self.pool.outstanding >= self.pool.max_outstanding()
     }
 
     /// Takes the time of an attempt that came to its end in.
-    pub(super) fn observe_service(&mut self, time: Span) {
-        self.service += (time.as_secs_f64() - self.service) * SERVICE_STEP;
+    pub(super) fn record_attempt_time(&mut self, time: Span) {
+        self.mean_attempt_s += (time.as_secs_f64() - self.mean_attempt_s) * SERVICE_STEP;
     }
 }
 
 impl Node {
     /// Highest tier number that a protected class has.
-    pub(super) fn urgent_tier(&self) -> Option<u8> {
+    pub(super) fn lowest_protected_tier(&self) -> Option<u8> {
         let classes = self.index.class_keys().map(|k| self.index.class(k));
         classes.filter(|c| c.protected).map(|c| c.tier).max()
     }
 
     /// Sends queued requests while there is room for them.
-    pub(super) fn pump(&mut self, now: Time, group: GroupKey) {
+    pub(super) fn dispatch_queued(&mut self, now: Time, group: GroupKey) {
         // Once this router's slots are taken, only tiers of protected classes may still overfill.
         let blocked = self.groups.get(&group).is_some_and(|s| s.blocked);
-        let mut tier = match (blocked, self.urgent) {
+        let mut tier = match (blocked, self.lowest_protected_tier) {
             (false, _) => u8::MAX,
             (true, Some(urgent)) => urgent,
             (true, None) => return,
@@ -85,7 +85,7 @@
                 return;
             };
             let key = next.item.request;
-            let victim = self.victim_for(now, group, key);
+            let victim = self.choose_victim(now, group, key);
             let upstream = match victim {
                 Some((_, upstream)) => Some(upstream),
                 None => self.choose(now, group, key, next.trickle_due),
@@ -103,7 +103,7 @@
             if let Some(state) = self.groups.get_mut(&group) {
                 state.blocked = true;
             }
-            match self.urgent {
+            match self.lowest_protected_tier {
                 Some(urgent) if tier == u8::MAX => tier = urgent,
                 _ => return,
             }
@@ -122,7 +122,7 @@
         let prompt = f64::from(r.submission.prompt_tokens / PROMPT_PART);
         let criteria = Criteria {
             holders: self.prefixes.holders(&r.submission.prefix),
-            excluded: &r.avoid,
+            excluded: &r.failed_upstreams,
             domain: &self.settings.failure_domain,
             cached_share: prompt / (prompt + f64::from(r.estimate)),
         };
@@ -133,7 +133,11 @@
         };
         // If every other replica is gone or full, one that failed this request is better than none.
         choose(&criteria).or_else(|| {
-            if r.avoid.is_empty() { None } else { choose(&Criteria { excluded: &[], ..criteria }) }
+            if r.failed_upstreams.is_empty() {
+                None
+            } else {
+                choose(&Criteria { excluded: &[], ..criteria })
+            }
         })
     }
 
@@ -149,12 +153,12 @@
         };
         self.next_attempt += 1;
         let id = AttemptId(self.next_attempt);
-        r.attempt = Some(Attempt { id, upstream, sent: now, last: now, answered: false });
-        r.tries += 1;
+        r.attempt = Some(Attempt { id, upstream, sent: now, last_frame: now, answered: false });
+        r.attempt_count += 1;
         r.promoted = trickle_due;
-        let request = match r.owner {
-            super::request::Owner::Caller(id) => id,
-            super::request::Owner::Key(_) => RequestId(0),
+        let request = match r.recipient {
+            super::request::Recipient::Caller(id) => id,
+            super::request::Recipient::Key(_) => RequestId(0),
         };
         let dispatch = Dispatch {
             attempt: id,
@@ -172,14 +176,14 @@
         for prefix in &r.submission.prefix {
             self.prefixes.add(upstream, *prefix);
         }
-        let (group, retry) = (r.group, r.tries > 1);
+        let (group, retry) = (r.group, r.attempt_count > 1);
         let tier = usize::from(r.flow.rule.tier);
         self.stats.dispatches += 1;
         if let Some(state) = self.groups.get_mut(&group) {
             state.pool.start_attempt(now, &mut self.upstreams, upstream);
             state.running[tier] += 1;
             if !retry {
-                state.budget.earn();
+                state.budget.deposit();
             }
         }
         self.attempts.insert(id, key);
@@ -192,7 +196,7 @@
     /// end: on average the time of an answer over the slots of a replica. Where that puts its
     /// target at stake, a stream of this router gives way. It goes on later from its offset,
     /// so nothing delivered is wasted; only its prompt is computed again.
-    fn victim_for(
+    fn choose_victim(
         &self,
         now: Time,
         group: GroupKey,
@@ -201,21 +205,21 @@
         let r = self.requests.get(key)?;
         let state = self.groups.get(&group)?;
         let engine = self.index.group(group).kind == Kind::Engine;
-        if !engine || !state.saturated() {
+        if !engine || !state.is_saturated() {
             return None;
         }
         let slots = f64::from(self.index.group(group).slots.max(1));
         let waited = now.since(r.arrived).as_secs_f64();
         let target = self.index.class(r.flow.class).first_token.as_secs_f64();
-        if waited + state.service / slots < target * PREEMPT_AT {
+        if waited + state.mean_attempt_s / slots < target * PREEMPT_AT {
             return None;
         }
-        let fit = state.victims.iter().rev().filter_map(|(tier, id)| {
+        let fit = state.preemptible.iter().rev().filter_map(|(tier, id)| {
             let key = *self.attempts.get(id)?;
             let upstream = self.requests.get(key)?.attempt.as_ref()?.upstream;
             let up = self.upstreams.get(upstream)?;
             let there = up.is_usable(now) && up.slowness() < STRAGGLER_SLOWNESS;
-            let fit = *tier > r.flow.rule.tier && there && !r.avoid.contains(&upstream);
+            let fit = *tier > r.flow.rule.tier && there && !r.failed_upstreams.contains(&upstream);
             fit.then_some((key, upstream))
         });
         fit.take(1).next()
@@ -223,16 +227,16 @@
 
     /// Notes that an attempt has its first token, and may give way from now on if it is of a kind
     /// that may. One without a token may be waiting itself, and stopping it would free nothing.
-    pub(super) fn note_victim(&mut self, key: Key<Request>, id: AttemptId) {
+    pub(super) fn mark_preemptible(&mut self, key: Key<Request>, id: AttemptId) {
         let Some(r) = self.requests.get(key) else {
             return;
         };
-        let may = r.repeatable() && !r.flow.rule.protected && !r.promoted;
+        let may = r.is_idempotent() && !r.flow.rule.protected && !r.promoted;
         if may
-            && r.preempted < MAX_PREEMPTIONS
+            && r.preemptions < MAX_PREEMPTIONS
             && let Some(state) = self.groups.get_mut(&r.group)
         {
-            state.victims.insert((r.flow.rule.tier, id));
+            state.preemptible.insert((r.flow.rule.tier, id));
         }
     }
 
@@ -242,8 +246,8 @@
         let Some(r) = self.requests.get_mut(key) else {
             return;
         };
-        r.preempted += 1;
-        r.touched = true;
+        r.preemptions += 1;
+        r.may_have_run = true;
         // Its caller already reads the answer: it may take as long as a whole one, not only as
         // long as a start.
         let class = self.index.class(r.flow.class);
@@ -267,7 +271,7 @@
         if let Some(state) = self.groups.get_mut(&r.group) {
             state.pool.end_attempt(now, &mut self.upstreams, attempt.upstream);
             state.running[usize::from(r.flow.rule.tier)] -= 1;
-            state.victims.remove(&(r.flow.rule.tier, attempt.id));
+            state.preemptible.remove(&(r.flow.rule.tier, attempt.id));
             state.blocked = false;
         }
         Some(attempt)
@@ -295,8 +299,8 @@
     }
 
     /// How long an attempt may be silent.
-    pub(super) fn patience_of(&self, r: &Request, attempt: &Attempt) -> Span {
-        if !r.repeatable() {
+    pub(super) fn max_silence(&self, r: &Request, attempt: &Attempt) -> Span {
+        if !r.is_idempotent() {
             // It can't be tried elsewhere; only a truthful end is left to give.
             return SILENT_ONCE;
         }
--- a/core/src/node/keyed.rs
+++ b/core/src/node/keyed.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use super::Node;
-use super::request::Owner;
+use super::request::Recipient;
 use super::request::not_run;
 use super::request::refusal;
 use crate::action::Action;
@@ -45,7 +45,7 @@
 }
 
 impl Node {
-    pub(super) fn arrive_with_key(
+    pub(super) fn receive_with_key(
         &mut self,
         now: Time,
         id: RequestId,
@@ -73,7 +73,7 @@
         let org = self.index.organisation(org).name.clone();
         let digest = idempotency::digest(&org, &target, &submission.body);
         match self.table.begin(&key, digest, waiter.clone()) {
-            Begin::Run => self.admit_or_refuse(now, Owner::Key(key), submission),
+            Begin::Run => self.admit_or_refuse(now, Recipient::Key(key), submission),
             Begin::Join => {}
             Begin::Replay(outcome) => self.answer_waiter(waiter, outcome),
             Begin::Refuse(reason, true) => {
--- a/core/src/node/mod.rs
+++ b/core/src/node/mod.rs
@@ -28,7 +28,7 @@
 use crate::config::GroupKey;
 use crate::config::Index;
 use crate::entry;
-use crate::estimate::Estimate;
+use crate::estimate::Estimator;
 use crate::event::AttemptId;
 use crate::event::Event;
 use crate::event::RequestId;
@@ -87,13 +87,13 @@
     /// Attempts in progress, by tier.
     running: Wanted,
     /// Attempts that may give way to a higher tier, by their tier.
-    victims: BTreeSet<(u8, AttemptId)>,
+    preemptible: BTreeSet<(u8, AttemptId)>,
     /// No slot was free for the head of the queue, and nothing has changed since.
     blocked: bool,
     /// Demand as slices follow it.
     demand: Smooth,
     /// Mean time of an attempt, in seconds.
-    service: f64,
+    mean_attempt_s: f64,
 }
 
 impl Default for GroupState {
@@ -104,10 +104,10 @@
             budget: Budget::default(),
             headroom: dispatch::FIRST_HEADROOM,
             running: Wanted::default(),
-            victims: BTreeSet::new(),
+            preemptible: BTreeSet::new(),
             blocked: false,
             demand: Smooth::default(),
-            service: 0.0,
+            mean_attempt_s: 0.0,
         }
     }
 }
@@ -118,7 +118,7 @@
     settings: Settings,
     rng: SmallRng,
     index: Index,
-    estimate: Estimate,
+    estimator: Estimator,
     limits: Limits,
     upstreams: Arena<Upstream>,
     upstream_by_name: BTreeMap<String, Key<Upstream>>,
@@ -127,12 +127,12 @@
     by_caller: BTreeMap<RequestId, Key<Request>>,
     attempts: BTreeMap<AttemptId, Key<Request>>,
     next_attempt: u64,
-    prefixes: prefix::View,
+    prefixes: prefix::Index,
     members: Members,
     demands: Demands,
     cells: Cells,
     routers: Routers,
-    urgent: Option<u8>,
+    lowest_protected_tier: Option<u8>,
     table: Table,
     forwards: BTreeMap<RequestId, Forward>,
     orders: BTreeMap<GroupKey, orders::Orders>,
@@ -161,7 +161,7 @@
         Node {
             rng: SmallRng::seed_from_u64(settings.seed),
             index: Index::default(),
-            estimate: Estimate::default(),
+            estimator: Estimator::default(),
             limits: Limits::default(),
             upstreams: Arena::default(),
             upstream_by_name: BTreeMap::new(),
@@ -170,13 +170,13 @@
             by_caller: BTreeMap::new(),
             attempts: BTreeMap::new(),
             next_attempt: 0,
-            prefixes: prefix::View::default(),
+            prefixes: prefix::Index::default(),
             table: Table::new(record.home(), now),
             members: Members::new(record),
             demands: Demands::default(),
             cells: Cells::default(),
             routers: Routers { live: 1, heard: 0 },
-            urgent: None,
+            lowest_protected_tier: None,
             forwards: BTreeMap::new(),
             orders: BTreeMap::new(),
             sync: Sync::default(),
@@ -192,41 +192,41 @@
     pub fn handle(&mut self, now: Time, event: Event) -> Vec<Action> {
         match event {
             Event::Tick => self.tick(now),
-            Event::Request(id, submission) => self.arrive(now, id, submission),
-            Event::CallerGone(id) => self.caller_gone(now, id),
+            Event::Request(id, submission) => self.on_request(now, id, submission),
+            Event::CallerGone(id) => self.on_caller_gone(now, id),
             Event::Frame { attempt, echo, offset, tokens, text } => {
-                self.frame(now, attempt, attempt::Frame { echo, offset, tokens, text });
+                self.on_frame(now, attempt, attempt::Frame { echo, offset, tokens, text });
             }
-            Event::Ended { attempt, echo, status } => self.ended(now, attempt, echo, status),
-            Event::Failed(attempt, failure) => self.failed(now, attempt, failure),
-            Event::Load(name, load) => self.load_report(now, &name, load),
-            Event::Deployed(name, deployment) => self.deployed(&name, deployment),
-            Event::Ordered(name, result) => self.ordered(now, &name, result),
+            Event::Ended { attempt, echo, status } => self.on_ended(now, attempt, echo, status),
+            Event::Failed(attempt, failure) => self.on_failed(now, attempt, failure),
+            Event::Load(name, load) => self.on_load(now, &name, load),
+            Event::Deployed(name, deployment) => self.on_deployed(&name, deployment),
+            Event::Ordered(name, result) => self.on_ordered(now, &name, result),
             Event::Cache { upstream, sequence, added, evicted } => {
                 if let Some(key) = self.upstream_by_name.get(&upstream) {
-                    self.prefixes.event(*key, sequence, &added, &evicted);
+                    self.prefixes.apply_event(*key, sequence, &added, &evicted);
                 }
             }
-            Event::Hosts { leaving } => self.hosts(now, &leaving),
+            Event::Hosts { leaving } => self.on_hosts(now, &leaving),
             Event::Peer { from, incarnation, message } => {
-                self.peer(now, &from, incarnation, message);
+                self.on_peer(now, &from, incarnation, message);
             }
-            Event::Kv(call, reply) => self.kv_reply(now, call, reply),
-            Event::Stop => self.stop(now),
+            Event::Kv(call, reply) => self.on_kv_reply(now, call, reply),
+            Event::Stop => self.on_stop(now),
         }
         std::mem::take(&mut self.out)
     }
 
     fn tick(&mut self, now: Time) {
         self.expire(now);
-        self.check_stalls(now);
+        self.fail_stalled(now);
         self.expire_forwards(now);
         self.tick_control(now);
         self.tick_stop(now);
         let waiting = self.groups.iter().filter(|(_, g)| !g.queue.is_empty());
         let waiting: Vec<GroupKey> = waiting.map(|(k, _)| *k).collect();
         for group in waiting {
-            self.pump(now, group);
+            self.dispatch_queued(now, group);
         }
     }
 
@@ -267,7 +267,7 @@
 
     /// Live routers that this one tells its demand: those of its cells, and of the cells of groups
     /// that it uses without being in them.
-    fn sharers(&self) -> Vec<&Record> {
+    fn sharing_peers(&self) -> Vec<&Record> {
         let mut groups = self.cells.of(&self.settings.name);
         if let Some(groups) = &mut groups {
             let busy = self.groups.iter().filter(|(_, g)| g.demand.get() != Wanted::default());
@@ -279,9 +279,9 @@
     }
 
     fn count_routers(&self, now: Time) -> Routers {
-        let sharers = self.sharers();
-        let names = sharers.iter().map(|r| r.name.as_str());
-        Routers { live: sharers.len() + 1, heard: self.demands.heard(now, names) }
+        let sharing_peers = self.sharing_peers();
+        let names = sharing_peers.iter().map(|r| r.name.as_str());
+        Routers { live: sharing_peers.len() + 1, heard: self.demands.heard(now, names) }
     }
 
     /// Configuration in force.
--- a/core/src/node/orders.rs
+++ b/core/src/node/orders.rs
@@ -39,7 +39,7 @@
 }
 
 impl Node {
-    pub(super) fn deployed(&mut self, name: &str, deployment: Deployment) {
+    pub(super) fn on_deployed(&mut self, name: &str, deployment: Deployment) {
         let known = self.upstream_by_name.get(name).and_then(|k| self.upstreams.get(*k));
         let Some(group) = known.map(|u| u.group) else {
             return;
@@ -136,7 +136,7 @@
         }
     }
 
-    pub(super) fn ordered(&mut self, now: Time, name: &str, result: OrderResult) {
+    pub(super) fn on_ordered(&mut self, now: Time, name: &str, result: OrderResult) {
         for orders in self.orders.values_mut() {
             let Some(at) = orders.given.get_mut(name) else {
                 continue;
@@ -155,7 +155,7 @@
     }
 
     /// Takes a reply about a lease in.
-    pub(super) fn lease_reply(&mut self, now: Time, group: &str, reply: KvReply) {
+    pub(super) fn on_lease_reply(&mut self, now: Time, group: &str, reply: KvReply) {
         let home = self.members.own().home();
         let Some(key) = self.index.group_named(group) else {
             return;
--- a/core/src/node/peers.rs
+++ b/core/src/node/peers.rs
@@ -12,11 +12,11 @@
 
 impl Node {
     /// Tells the routers that share a group what this one wants there.
-    pub(super) fn tell_demand(&mut self, now: Time, leaving: Vec<String>) {
+    pub(super) fn send_demand(&mut self, now: Time, leaving: Vec<String>) {
         let wanted = self.wanted();
         let used = self.use_by_org(now);
         let demand = Demand { wanted, used, leaving };
-        let peers = self.sharers();
+        let peers = self.sharing_peers();
         let peers: Vec<String> = peers.into_iter().map(|r| r.peer_address.clone()).collect();
         for address in peers {
             self.send(address, Message::Demand(demand.clone()));
@@ -24,11 +24,11 @@
     }
 
     /// Tells peers at once that an upstream is leaving.
-    pub(super) fn note_leaving(&mut self, now: Time, key: crate::arena::Key<Upstream>) {
+    pub(super) fn announce_leaving(&mut self, now: Time, key: crate::arena::Key<Upstream>) {
         if let Some(up) = self.upstreams.get(key) {
             let name = up.name.clone();
             self.out.push(Action::Log(Line::new("upstream_leaving").with("upstream", &name)));
-            self.tell_demand(now, vec![name]);
+            self.send_demand(now, vec![name]);
         }
     }
 
@@ -49,7 +49,7 @@
         }
     }
 
-    pub(super) fn peer(&mut self, now: Time, from: &str, incarnation: u64, message: Message) {
+    pub(super) fn on_peer(&mut self, now: Time, from: &str, incarnation: u64, message: Message) {
         let known = self.members.get(from).map_or(0, |r| r.incarnation);
         if from == self.settings.name || incarnation < known {
             // A message of an earlier run of that router, late on the wire.
@@ -57,13 +57,13 @@
         }
         match message {
             Message::Probe { sequence, anew, gossip } => {
-                self.hear(now, from, &gossip);
+                self.on_gossip(now, from, &gossip);
                 let probe = Asked { sequence, anew, gossip };
                 let (rng, out) = (&mut self.rng, &mut self.out);
                 self.members.on_probe(now, rng, out, from, probe);
             }
             Message::Answer { sequence, gossip } => {
-                self.hear(now, from, &gossip);
+                self.on_gossip(now, from, &gossip);
                 let (rng, out) = (&mut self.rng, &mut self.out);
                 self.members.on_answer(now, rng, out, from, sequence, gossip);
             }
@@ -71,7 +71,7 @@
                 self.members.on_probe_for(now, &mut self.out, from, sequence, address);
             }
             Message::News(gossip) => {
-                self.hear(now, from, &gossip);
+                self.on_gossip(now, from, &gossip);
                 self.members.learn(now, &mut self.rng, &mut self.out, gossip.records);
             }
             Message::AskMembers { record } => {
--- a/core/src/node/request.rs
+++ b/core/src/node/request.rs
@@ -19,7 +19,7 @@
 use crate::queue::Flow;
 use crate::queue::Item;
 use crate::queue::Rule;
-use crate::stats::Ending;
+use crate::stats::Timing;
 use crate::stats::Waste;
 use crate::time::Span;
 use crate::time::Time;
@@ -35,7 +35,7 @@
 
 /// Who gets the end of a request.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Owner {
+pub enum Recipient {
     /// A caller of this router.
     Caller(RequestId),
     /// All who wait for a key.
@@ -52,7 +52,7 @@
     /// When it was sent.
     pub sent: Time,
     /// When something came of it last.
-    pub last: Time,
+    pub last_frame: Time,
     /// Whether anything came of it.
     pub answered: bool,
 }
@@ -61,7 +61,7 @@
 #[derive(Debug)]
 pub struct Request {
     /// Who gets the end.
-    pub owner: Owner,
+    pub recipient: Recipient,
     /// Its class and organisation.
     pub flow: Flow,
     /// Its group.
@@ -75,15 +75,15 @@
     /// The try in progress.
     pub attempt: Option<Attempt>,
     /// Tries so far.
-    pub tries: u32,
+    pub attempt_count: u32,
     /// Upstreams that failed it.
-    pub avoid: Vec<Key<Upstream>>,
+    pub failed_upstreams: Vec<Key<Upstream>>,
     /// How often it was stopped for a higher tier.
-    pub preempted: u32,
+    pub preemptions: u32,
     /// Its class's trickle let it go before higher tiers.
     pub promoted: bool,
     /// A byte of an attempt that is over may have reached an upstream that may act on it.
-    pub touched: bool,
+    pub may_have_run: bool,
     /// Tokens delivered.
     pub delivered: u32,
     /// Text delivered, for a whole answer or for going on elsewhere.
@@ -94,15 +94,15 @@
 
 impl Request {
     /// Whether a caller hears of tokens as they come.
-    pub fn streams_to(&self) -> Option<RequestId> {
-        match self.owner {
-            Owner::Caller(id) if self.submission.stream => Some(id),
+    pub fn streaming_caller(&self) -> Option<RequestId> {
+        match self.recipient {
+            Recipient::Caller(id) if self.submission.stream => Some(id),
             _ => None,
         }
     }
 
     /// Whether it may be sent to an upstream again after one may have acted on it.
-    pub fn repeatable(&self) -> bool {
+    pub fn is_idempotent(&self) -> bool {
         self.submission.idempotent
     }
 
@@ -136,31 +136,31 @@
 }
 
 impl Node {
-    pub(super) fn arrive(&mut self, now: Time, id: RequestId, submission: Box<Submission>) {
-        if self.config_version() == 0 || !self.stopping.takes_callers() {
+    pub(super) fn on_request(&mut self, now: Time, id: RequestId, submission: Box<Submission>) {
+        if self.config_version() == 0 || !self.stopping.accepts_requests() {
             self.finish_caller(id, not_run(Reason::NotServing, RETRY_SOON));
             return;
         }
         match submission.idempotency_key.clone() {
-            None => self.admit_or_refuse(now, Owner::Caller(id), submission),
-            Some(text) => self.arrive_with_key(now, id, &text, submission),
+            None => self.admit_or_refuse(now, Recipient::Caller(id), submission),
+            Some(text) => self.receive_with_key(now, id, &text, submission),
         }
     }
 
     /// Admits a request, or ends it at once.
-    pub(super) fn admit_or_refuse(&mut self, now: Time, owner: Owner, s: Box<Submission>) {
+    pub(super) fn admit_or_refuse(&mut self, now: Time, recipient: Recipient, s: Box<Submission>) {
         let resolved = match self.resolve(&s) {
             Ok(resolved) => resolved,
             Err(reason) => {
-                self.finish_owner(owner, not_run(reason, Span(0)));
+                self.finish_recipient(recipient, not_run(reason, Span(0)));
                 return;
             }
         };
-        self.stats.receive(resolved.flow.class, resolved.flow.org);
-        if let Err((owner, outcome)) = self.admit(now, owner, s, &resolved) {
-            let ending = Ending { first_token: None, finish: Span(0), attained: false };
-            self.stats.end(resolved.flow.class, resolved.flow.org, ending, &outcome);
-            self.finish_owner(owner, outcome);
+        self.stats.record_arrival(resolved.flow.class, resolved.flow.org);
+        if let Err((recipient, outcome)) = self.admit(now, recipient, s, &resolved) {
+            let timing = Timing { first_token: None, finish: Span(0), attained: false };
+            self.stats.record_end(resolved.flow.class, resolved.flow.org, timing, &outcome);
+            self.finish_recipient(recipient, outcome);
         }
     }
 
@@ -186,41 +186,41 @@
     fn admit(
         &mut self,
         now: Time,
-        owner: Owner,
+        recipient: Recipient,
         submission: Box<Submission>,
         to: &Resolved,
-    ) -> Result<(), (Owner, Outcome)> {
+    ) -> Result<(), (Recipient, Outcome)> {
         let patience = self.index.class(to.flow.class).patience;
         let org = self.index.organisation(to.flow.org);
         let limit = Limit { requests: org.requests_per_second, tokens: org.tokens_per_second };
         let bound = if submission.max_tokens == 0 { u32::MAX } else { submission.max_tokens };
-        let estimate = self.estimate.output(to.flow.class, to.flow.org).min(bound);
+        let estimate = self.estimator.output_tokens(to.flow.class, to.flow.org).min(bound);
 
         if let Err(outcome) = self.check_queue(now, to, patience) {
-            return Err((owner, outcome));
+            return Err((recipient, outcome));
         }
         let routers = self.routers;
         if let Err(wait) = self.limits.take(now, to.flow.org, limit, estimate, routers) {
-            return Err((owner, not_run(Reason::OverLimit, wait)));
+            return Err((recipient, not_run(Reason::OverLimit, wait)));
         }
 
-        let caller = match owner {
-            Owner::Caller(id) => Some(id),
-            Owner::Key(_) => None,
+        let caller = match recipient {
+            Recipient::Caller(id) => Some(id),
+            Recipient::Key(_) => None,
         };
         let request = Request {
-            owner,
+            recipient,
             flow: to.flow,
             group: to.group,
             arrived: now,
             submission,
             estimate,
             attempt: None,
-            tries: 0,
-            avoid: Vec::new(),
-            preempted: 0,
+            attempt_count: 0,
+            failed_upstreams: Vec::new(),
+            preemptions: 0,
             promoted: false,
-            touched: false,
+            may_have_run: false,
             delivered: 0,
             parts: Vec::new(),
             first: None,
@@ -230,7 +230,7 @@
             self.by_caller.insert(id, key);
         }
         self.enqueue(key, now + patience);
-        self.pump(now, to.group);
+        self.dispatch_queued(now, to.group);
         Ok(())
     }
 
@@ -267,7 +267,7 @@
         };
         let item = r.item(key, deadline);
         let state = self.groups.entry(r.group).or_default();
-        if r.tries > 0 {
+        if r.attempt_count > 0 {
             state.queue.push_front(r.flow, item);
         } else {
             state.queue.push(r.flow, item);
@@ -285,7 +285,7 @@
                 continue;
             };
             let group = r.group;
-            let outcome = r.fallback(Reason::Overloaded, RETRY_SOON);
+            let outcome = r.failure_outcome(Reason::Overloaded, RETRY_SOON);
             self.refuse_queued(now, key, outcome);
             due.extend(self.groups.get(&group).and_then(|s| s.queue.first_expired(now)));
         }
@@ -312,29 +312,29 @@
         let finish = now.since(r.arrived);
         let attained =
             finish <= class.finish && first_token.is_some_and(|f| f <= class.first_token);
-        self.stats.end(
+        self.stats.record_end(
             r.flow.class,
             r.flow.org,
-            Ending { first_token, finish, attained },
+            Timing { first_token, finish, attained },
             &outcome,
         );
         match &outcome {
             Outcome::Whole { tokens, .. } => {
-                self.estimate.learn(r.flow.class, r.flow.org, *tokens);
+                self.estimator.add(r.flow.class, r.flow.org, *tokens);
                 self.limits.settle(r.flow.org, r.estimate, *tokens);
             }
             Outcome::Refused(_) => {
-                self.stats.waste(Waste::Incomplete, r.delivered);
+                self.stats.record_waste(Waste::Incomplete, r.delivered);
                 self.limits.settle(r.flow.org, r.estimate, r.delivered);
             }
         }
-        self.finish_owner(r.owner, outcome);
+        self.finish_recipient(r.recipient, outcome);
     }
 
-    pub(super) fn finish_owner(&mut self, owner: Owner, outcome: Outcome) {
-        match owner {
-            Owner::Caller(id) => self.finish_caller(id, outcome),
-            Owner::Key(key) => self.finish_key(&key, outcome),
+    pub(super) fn finish_recipient(&mut self, recipient: Recipient, outcome: Outcome) {
+        match recipient {
+            Recipient::Caller(id) => self.finish_caller(id, outcome),
+            Recipient::Key(key) => self.finish_key(&key, outcome),
         }
     }
 
@@ -347,7 +347,7 @@
     ///
     /// A keyed request goes on: its caller is expected to come back for the answer. So does a
     /// call that may not be repeated and was sent: stopping it half-way helps nobody.
-    pub(super) fn caller_gone(&mut self, now: Time, id: RequestId) {
+    pub(super) fn on_caller_gone(&mut self, now: Time, id: RequestId) {
         self.forwards.remove(&id);
         let Some(key) = self.by_caller.remove(&id) else {
             return;
@@ -360,23 +360,23 @@
             if let Some(state) = self.groups.get_mut(&group) {
                 state.queue.remove(r.flow, key);
             }
-        } else if r.repeatable() {
+        } else if r.is_idempotent() {
             self.cancel_attempt(now, key);
         } else {
             return;
         }
         if let Some(r) = self.requests.remove(key) {
-            self.stats.waste(Waste::CallerGone, r.delivered);
+            self.stats.record_waste(Waste::CallerGone, r.delivered);
             self.limits.settle(r.flow.org, r.estimate, r.delivered);
         }
-        self.pump(now, group);
+        self.dispatch_queued(now, group);
     }
 }
 
 impl Request {
     /// The truthful end of a request that is given up.
-    pub(super) fn fallback(&self, reason: Reason, retry_after: Span) -> Outcome {
-        let verdict = if !self.touched {
+    pub(super) fn failure_outcome(&self, reason: Reason, retry_after: Span) -> Outcome {
+        let verdict = if !self.may_have_run {
             Verdict::NotRun
         } else if self.delivered > 0 {
             Verdict::Incomplete
--- a/core/src/node/service.rs
+++ b/core/src/node/service.rs
@@ -69,11 +69,11 @@
         }
     }
 
-    pub(super) fn kv_reply(&mut self, now: Time, call: KvCall, reply: KvReply) {
+    pub(super) fn on_kv_reply(&mut self, now: Time, call: KvCall, reply: KvReply) {
         let (KvCall::Get { key } | KvCall::Swap { key, .. }) = &call;
         if let Some(group) = key.strip_prefix(LEASE_PREFIX) {
             let group = group.to_owned();
-            self.lease_reply(now, &group, reply);
+            self.on_lease_reply(now, &group, reply);
             return;
         }
         if reply == KvReply::Unavailable {
@@ -81,7 +81,7 @@
             return;
         }
         match (call, reply) {
-            (KvCall::Get { key }, KvReply::Value(value)) => self.kv_value(now, &key, value),
+            (KvCall::Get { key }, KvReply::Value(value)) => self.on_kv_value(now, &key, value),
             (KvCall::Swap { key, .. }, KvReply::Swapped(None)) if key == ROSTER_KEY => {
                 // Another router wrote in between; its list is read before this one is tried again.
                 self.control.roster = now + Members::jitter(&mut self.rng, JOIN_RETRY);
@@ -90,7 +90,7 @@
         }
     }
 
-    pub(super) fn kv_value(&mut self, now: Time, key: &str, value: Option<(Bytes, i64)>) {
+    pub(super) fn on_kv_value(&mut self, now: Time, key: &str, value: Option<(Bytes, i64)>) {
         match key {
             ROOT_KEY => {
                 self.control.root_read = true;
@@ -106,10 +106,10 @@
                     self.step_sync(now);
                 }
             }
-            ROSTER_KEY => self.roster_value(now, value),
+            ROSTER_KEY => self.on_roster(now, value),
             HOSTS_KEY => {
                 let list = value.and_then(|(v, _)| serde_json::from_slice::<Vec<String>>(&v).ok());
-                self.hosts(now, &list.unwrap_or_default());
+                self.on_hosts(now, &list.unwrap_or_default());
             }
             _ if key.starts_with(SHARD_PREFIX) => {
                 if let Some((content, _)) = value {
@@ -122,7 +122,7 @@
     }
 
     /// Learns routers from the roster, and writes it if it lacks any.
-    pub(super) fn roster_value(&mut self, now: Time, value: Option<(Bytes, i64)>) {
+    pub(super) fn on_roster(&mut self, now: Time, value: Option<(Bytes, i64)>) {
         let (records, revision) = match value {
             Some((v, revision)) => {
                 (serde_json::from_slice::<Vec<Record>>(&v).unwrap_or_default(), revision)
--- a/core/src/node/stop.rs
+++ b/core/src/node/stop.rs
@@ -43,18 +43,18 @@
 
 impl Phase {
     /// Whether callers' requests are still taken.
-    pub(super) fn takes_callers(&self) -> bool {
+    pub(super) fn accepts_requests(&self) -> bool {
         matches!(self, Phase::Running | Phase::Leaving(_))
     }
 
     /// Whether failed attempts are no longer retried.
-    pub(super) fn gives_up(&self) -> bool {
+    pub(super) fn is_done(&self) -> bool {
         matches!(self, Phase::Done(_) | Phase::Exited)
     }
 }
 
 impl Node {
-    pub(super) fn stop(&mut self, now: Time) {
+    pub(super) fn on_stop(&mut self, now: Time) {
         if self.stopping != Phase::Running {
             return;
         }
@@ -78,7 +78,7 @@
                 }
             }
             Phase::HandingOver { successor, began, sent, open } => {
-                self.go_on_handing_over(now, successor, began, sent, open);
+                self.continue_hand_over(now, successor, began, sent, open);
             }
             Phase::Done(at) => {
                 if now >= at {
@@ -119,7 +119,7 @@
         }
     }
 
-    fn go_on_handing_over(
+    fn continue_hand_over(
         &mut self,
         now: Time,
         successor: String,
--- a/core/src/node/upstreams.rs
+++ b/core/src/node/upstreams.rs
@@ -56,7 +56,7 @@
             if let Some(state) = self.groups.get_mut(&group) {
                 state.pool.remove(key, &self.upstreams);
             }
-            self.prefixes.forget(key);
+            self.prefixes.remove_holder(key);
             self.upstreams.remove(key);
             if self.upstream_by_name.get(&name) == Some(&key) {
                 self.upstream_by_name.remove(&name);
@@ -71,7 +71,7 @@
         }
     }
 
-    pub(super) fn load_report(&mut self, now: Time, name: &str, load: Load) {
+    pub(super) fn on_load(&mut self, now: Time, name: &str, load: Load) {
         let Some(key) = self.upstream_by_name.get(name).copied() else {
             return;
         };
@@ -81,12 +81,12 @@
         up.record_report(now, load);
         let group = up.group;
         self.rank_upstream(now, key);
-        self.pump(now, group);
+        self.dispatch_queued(now, group);
     }
 
     /// Takes the platform's list of leaving hosts in, and tells peers at once of what is new on it:
     /// each of them reads the list but rarely.
-    pub(super) fn hosts(&mut self, now: Time, leaving: &[String]) {
+    pub(super) fn on_hosts(&mut self, now: Time, leaving: &[String]) {
         let mut news = Vec::new();
         let all: Vec<(String, Key<Upstream>)> =
             self.upstream_by_name.iter().map(|(n, k)| (n.clone(), *k)).collect();
@@ -105,7 +105,7 @@
             }
         }
         if !news.is_empty() {
-            self.tell_demand(now, news);
+            self.send_demand(now, news);
         }
     }
 }
--- a/core/src/node/versions.rs
+++ b/core/src/node/versions.rs
@@ -18,7 +18,7 @@
 
 impl Node {
     /// Asks for the root of a peer whose gossip names a newer version.
-    pub(super) fn hear(&mut self, now: Time, from: &str, gossip: &Gossip) {
+    pub(super) fn on_gossip(&mut self, now: Time, from: &str, gossip: &Gossip) {
         if self.members.own().state == State::Joining {
             self.control.versions_heard.insert(from.to_owned(), gossip.version);
         }
@@ -73,7 +73,7 @@
             Step::Apply(config) => {
                 self.index.update(&config);
                 self.apply_upstreams(now, &config);
-                self.urgent = self.urgent_tier();
+                self.lowest_protected_tier = self.lowest_protected_tier();
                 let version = self.config_version();
                 self.members.set_config_version(version);
                 self.members.announce(&mut self.rng, &mut self.out);
--- a/core/src/outlier.rs
+++ b/core/src/outlier.rs
@@ -4,9 +4,9 @@
 use crate::time::Time;
 
 /// Consecutive failures that eject an upstream.
-pub const FAILURES: u32 = 3;
+pub const EJECTION_THRESHOLD: u32 = 3;
 /// First length of an ejection; it doubles with each further one.
-pub const BASE: Span = Span::secs(2);
+pub const MIN_EJECTION: Span = Span::secs(2);
 const MAX_DOUBLINGS: u32 = 4;
 
 /// Failure record of one upstream.
@@ -41,27 +41,27 @@
     }
 
     /// Whether the upstream is out or on probation.
-    pub fn is_out(&self) -> bool {
+    pub fn is_suspended(&self) -> bool {
         self.until.is_some()
     }
 
     /// Notes that a probing request was sent.
-    pub fn probe(&mut self) {
+    pub fn start_probe(&mut self) {
         if self.until.is_some() {
             self.probing = true;
         }
     }
 
     /// Notes an answer that came to its end.
-    pub fn success(&mut self) {
+    pub fn record_success(&mut self) {
         *self = Record { ejections: self.ejections.saturating_sub(1), ..Record::default() };
     }
 
     /// Notes a failure; `may_eject` is false when the group's cap is reached.
-    pub fn failure(&mut self, now: Time, may_eject: bool) {
+    pub fn record_failure(&mut self, now: Time, may_eject: bool) {
         self.failures += 1;
-        if self.until.is_some() || (self.failures >= FAILURES && may_eject) {
-            let length = Span(BASE.0 << self.ejections.min(MAX_DOUBLINGS));
+        if self.until.is_some() || (self.failures >= EJECTION_THRESHOLD && may_eject) {
+            let length = Span(MIN_EJECTION.0 << self.ejections.min(MAX_DOUBLINGS));
             self.until = Some(now + length);
             self.ejections += 1;
             self.probing = false;
--- a/core/src/prefix.rs
+++ b/core/src/prefix.rs
@@ -9,28 +9,28 @@
 use crate::arena::Key;
 use crate::upstream::Upstream;
 
-const HOLDERS: usize = 4;
+const MAX_HOLDERS: usize = 4;
 const MAX_PREFIXES: usize = 65_536;
 
 type Holder = Key<Upstream>;
 
 /// Holders by prefix hash, in bounded memory.
 #[derive(Debug, Default)]
-pub struct View {
+pub struct Index {
     holders: BTreeMap<u64, Vec<Holder>>,
-    order: VecDeque<u64>,
-    sequence: BTreeMap<Holder, u64>,
+    insertion_order: VecDeque<u64>,
+    last_sequence: BTreeMap<Holder, u64>,
 }
 
-impl View {
+impl Index {
     /// Takes a cache event in.
-    pub fn event(&mut self, holder: Holder, sequence: u64, added: &[u64], evicted: &[u64]) {
-        let last = self.sequence.insert(holder, sequence);
+    pub fn apply_event(&mut self, holder: Holder, sequence: u64, added: &[u64], evicted: &[u64]) {
+        let last = self.last_sequence.insert(holder, sequence);
         let gap = last.is_some_and(|l| sequence > l + 1);
         if gap {
             // A lost event may have been an eviction: what was known of this engine is dropped,
             // or requests would queue there for a prefix that is gone.
-            self.forget(holder);
+            self.remove_holder(holder);
         }
         for &prefix in evicted {
             if let Some(list) = self.holders.get_mut(&prefix) {
@@ -47,26 +47,26 @@
         let list = match self.holders.get_mut(&prefix) {
             Some(list) => list,
             None => {
-                if self.order.len() >= MAX_PREFIXES
-                    && let Some(oldest) = self.order.pop_front()
+                if self.insertion_order.len() >= MAX_PREFIXES
+                    && let Some(oldest) = self.insertion_order.pop_front()
                 {
                     self.holders.remove(&oldest);
                 }
-                self.order.push_back(prefix);
+                self.insertion_order.push_back(prefix);
                 self.holders.entry(prefix).or_default()
             }
         };
         if list.contains(&holder) {
             return;
         }
-        if list.len() >= HOLDERS {
+        if list.len() >= MAX_HOLDERS {
             list.remove(0);
         }
         list.push(holder);
     }
 
     /// Drops everything known of `holder`.
-    pub fn forget(&mut self, holder: Holder) {
+    pub fn remove_holder(&mut self, holder: Holder) {
         for list in self.holders.values_mut() {
             list.retain(|h| *h != holder);
         }
--- a/core/src/stats.rs
+++ b/core/src/stats.rs
@@ -65,7 +65,7 @@
 
 /// How a request went, for the counters.
 #[derive(Clone, Copy, Debug)]
-pub struct Ending {
+pub struct Timing {
     /// From arrival to the first token, if there was one.
     pub first_token: Option<Span>,
     /// From arrival to the end.
@@ -75,14 +75,14 @@
 }
 
 impl Series {
-    fn end(&mut self, ending: Ending, outcome: &Outcome) {
+    fn record_end(&mut self, timing: Timing, outcome: &Outcome) {
         match outcome {
             Outcome::Whole { tokens, .. } => {
                 self.whole += 1;
-                self.attained += u64::from(ending.attained);
+                self.attained += u64::from(timing.attained);
                 self.tokens += u64::from(*tokens);
-                self.finish.saturating_record(ending.finish.0);
-                if let Some(first) = ending.first_token {
+                self.finish.saturating_record(timing.finish.0);
+                if let Some(first) = timing.first_token {
                     self.first_token.saturating_record(first.0);
                 }
             }
@@ -125,7 +125,7 @@
 
 impl Stats {
     /// Counts an arrival.
-    pub fn receive(&mut self, class: ClassKey, org: OrgKey) {
+    pub fn record_arrival(&mut self, class: ClassKey, org: OrgKey) {
         self.classes.entry(class).or_default().received += 1;
         if let Some(series) = self.org(org) {
             series.received += 1;
@@ -133,15 +133,15 @@
     }
 
     /// Counts an end.
-    pub fn end(&mut self, class: ClassKey, org: OrgKey, ending: Ending, outcome: &Outcome) {
-        self.classes.entry(class).or_default().end(ending, outcome);
+    pub fn record_end(&mut self, class: ClassKey, org: OrgKey, timing: Timing, outcome: &Outcome) {
+        self.classes.entry(class).or_default().record_end(timing, outcome);
         if let Some(series) = self.org(org) {
-            series.end(ending, outcome);
+            series.record_end(timing, outcome);
         }
     }
 
     /// Counts tokens generated for nobody.
-    pub fn waste(&mut self, cause: Waste, tokens: u32) {
+    pub fn record_waste(&mut self, cause: Waste, tokens: u32) {
         *self.wasted.entry(cause).or_default() += u64::from(tokens);
     }
 
--- a/core/src/upstream.rs
+++ b/core/src/upstream.rs
@@ -273,7 +273,7 @@
     pub fn start_attempt(&mut self, now: Time, arena: &mut Arena<Upstream>, key: Key<Upstream>) {
         if let Some(up) = arena.get_mut(key) {
             up.outstanding += 1;
-            up.outlier.probe();
+            up.outlier.start_probe();
             up.record_history(now);
             self.outstanding += 1;
         }
@@ -314,7 +314,8 @@
 
     /// Whether another replica may be ejected: at most a third of the group, and never the last.
     pub fn may_eject(&self, arena: &Arena<Upstream>) -> bool {
-        let out = self.members.iter().filter_map(|k| arena.get(*k)).filter(|u| u.outlier.is_out());
+        let out =
+            self.members.iter().filter_map(|k| arena.get(*k)).filter(|u| u.outlier.is_suspended());
         (out.count() + 1) * 3 <= self.members.len().max(3) && self.ranked.len() > 1
     }
 
