--- a/gateway/src/attempt.rs
+++ b/gateway/src/attempt.rs
@@ -57,7 +57,7 @@
     /// State of the process.
     pub shared: Shared,
     /// The parsed head of the call.
-    pub ask: Submission,
+    pub submission: Submission,
     /// HTTP method.
     pub method: Method,
     /// Path and query.
@@ -211,7 +211,7 @@
         let label = format!("service=\"{}\",fault=\"{fault}\"", self.grant.service);
         self.shared.metrics.count("attempt_faults_total", label);
         let line = Line::new("attempt_failed")
-            .with("request", String::from_utf8_lossy(&self.ask.id))
+            .with("request", String::from_utf8_lossy(&self.submission.id))
             .with("route", &self.grant.route.name)
             .with("fingerprint", format_fingerprint(&self.grant))
             .with("replica", replica)
@@ -231,7 +231,7 @@
         if !self.may_have_run {
             self.shared.gateway.borrow().may_begin(now, &self.grant).map_err(Failure::Denied)?;
         }
-        let queries = self.shared.gateway.borrow_mut().queries(now, &self.ask, &self.grant);
+        let queries = self.shared.gateway.borrow_mut().queries(now, &self.submission, &self.grant);
         let snapshots = peers::request_snapshots(&self.shared, queries).await;
         let mut pick = self.pick(&snapshots).map_err(Failure::Denied)?;
         let channel = self.connect(&pick).await?;
@@ -242,7 +242,7 @@
 
     fn pick(&mut self, snapshots: &[Snapshot]) -> Result<Pick, Refusal> {
         let mut gateway = self.shared.gateway.borrow_mut();
-        gateway.pick(clock::now(), &self.ask, &mut self.grant, snapshots)
+        gateway.pick(clock::now(), &self.submission, &mut self.grant, snapshots)
     }
 
     async fn connect(&mut self, pick: &Pick) -> Result<Channel, Failure> {
@@ -272,7 +272,7 @@
         gateway.record_unsent(clock::now(), &mut self.grant, pick.claim.replica, outcome);
         drop(gateway);
         let line = Line::new("replica_unreachable")
-            .with("request", String::from_utf8_lossy(&self.ask.id))
+            .with("request", String::from_utf8_lossy(&self.submission.id))
             .with("replica", &pick.id)
             .with("address", &pick.address)
             .with("error", error);
@@ -284,7 +284,7 @@
     fn confirm(&mut self, pick: &Pick) -> Result<(), Failure> {
         let service = self.grant.service.clone();
         let gateway = self.shared.gateway.borrow();
-        let result = gateway.recheck(clock::now(), &self.ask, &mut self.grant);
+        let result = gateway.recheck(clock::now(), &self.submission, &mut self.grant);
         result.map_err(Failure::Denied)?;
         let open = gateway.is_usable(pick.claim.replica) && self.grant.service == service;
         drop(gateway);
@@ -327,7 +327,7 @@
         request: Request<Full<Bytes>>,
     ) -> Result<Exchange, Failure> {
         let now = clock::now();
-        self.shared.gateway.borrow_mut().record_sent(now, &self.ask, &mut self.grant, pick);
+        self.shared.gateway.borrow_mut().record_sent(now, &self.submission, &mut self.grant, pick);
         self.shared.updates_waiting.notify_one();
         let shared = self.shared.clone();
         let mut in_flight = InFlight { shared, claim: pick.claim, ended: Cell::new(false) };
@@ -338,7 +338,7 @@
             Err(fault) => return Err(self.fail(&in_flight, &pick.id, fault)),
         };
         let metadata = (self.shared.dialect.parse_response)(response.headers());
-        if metadata.id.as_ref() != Some(&self.ask.id) {
+        if metadata.id.as_ref() != Some(&self.submission.id) {
             let fault = self.classify_foreign(&response, &metadata);
             return Err(self.fail(&in_flight, &pick.id, fault));
         }
@@ -497,7 +497,7 @@
                     // The attempt is abandoned only if another replica may take the call; otherwise
                     // a stream would break off at the caller because of a pause of its replica.
                     let mut gateway = self.shared.gateway.borrow_mut();
-                    if gateway.may_reroute(now, &self.ask, &self.grant)
+                    if gateway.may_reroute(now, &self.submission, &self.grant)
                         && gateway.spend_retry(now, &self.grant.service)
                     {
                         return Err(Fault::Silent);
--- a/gateway/src/call.rs
+++ b/gateway/src/call.rs
@@ -189,38 +189,38 @@
 async fn respond(shared: &Shared, request: Request<Incoming>) -> Response<Payload> {
     let arrived = clock::now();
     let (head, body) = request.into_parts();
-    let ask = match (shared.dialect.parse_call)(&head) {
-        Ok(ask) => ask,
+    let submission = match (shared.dialect.parse_call)(&head) {
+        Ok(submission) => submission,
         Err(e) => return text_response(StatusCode::BAD_REQUEST, &e.to_string()),
     };
-    let recorder = Recorder::new(shared.clone(), ask.id.clone(), arrived);
-    let admitted = shared.gateway.borrow_mut().admit(arrived, &ask);
+    let recorder = Recorder::new(shared.clone(), submission.id.clone(), arrived);
+    let admitted = shared.gateway.borrow_mut().admit(arrived, &submission);
     let limits = shared.gateway.borrow().config().map_or_else(Limits::default, |c| c.limits);
     // The body of a refused call is read too, so that the connection stays usable.
     let body = match read_body(body, &limits).await {
         Ok(body) => body,
         Err(status) => {
             recorder.record_refusal("body", status);
-            return gateway_response(shared, &ask.id, status, None);
+            return gateway_response(shared, &submission.id, status, None);
         }
     };
     let mut grant = match admitted {
         Ok(grant) => grant,
-        Err(refusal) => return refuse(shared, &recorder, &ask.id, &refusal),
+        Err(refusal) => return refuse(shared, &recorder, &submission.id, &refusal),
     };
     let (method, uri) = (head.method, head.uri);
     let uri = uri.path_and_query().map_or(uri.clone(), |p| p.clone().into());
     grant.fingerprint = Some(Fingerprint::of(&fingerprint::Source {
         organisation: grant.organisation.as_deref(),
         method: method.as_str(),
-        host: &ask.host,
+        host: &submission.host,
         path: uri.path_and_query().map_or("", |p| p.as_str()),
         body: &body,
     }));
     let shared = shared.clone();
     let call = Call {
         shared,
-        ask,
+        submission,
         method,
         uri,
         headers: head.headers,
@@ -319,7 +319,7 @@
 fn refuse_admitted(call: &Call, recorder: &Recorder, refusal: &Refusal) -> Response<Payload> {
     let outcome = refusal.reason.to_string();
     recorder.record_end(call, &outcome, status(refusal).as_u16());
-    gateway_response(&call.shared, &call.ask.id, status(refusal), Some(refusal))
+    gateway_response(&call.shared, &call.submission.id, status(refusal), Some(refusal))
 }
 
 fn refuse(
--- a/gateway/src/relay.rs
+++ b/gateway/src/relay.rs
@@ -111,7 +111,7 @@
             }
             let last = self.splitter.last_id().cloned();
             let line = Line::new("stream_resumes")
-                .with("request", String::from_utf8_lossy(&self.call.ask.id))
+                .with("request", String::from_utf8_lossy(&self.call.submission.id))
                 .with("events", self.splitter.count())
                 .with("attempt", self.call.grant.attempts)
                 .with("age_ms", clock::now().since(self.call.grant.arrived).as_millis());
