--- a/core/src/gateway/delta.rs
+++ b/core/src/gateway/delta.rs
@@ -158,21 +158,21 @@
     /// [`Error::BaseMismatch`] if `known` is not the base, [`Error::ResultMismatch`] if the result
     /// has another digest than the stated one.
     pub fn apply(self, known: Option<&Snapshot>) -> Result<Snapshot, Error> {
-        let own = known.map(Snapshot::base).unwrap_or_default();
+        let current = known.map(Snapshot::base).unwrap_or_default();
         let (from, to) = (self.from, self.to);
         let matches = |from: u64, own: u64| from == 0 || from == own;
-        let matches = matches(from.config, own.digest.config)
-            && matches(from.replicas, own.digest.replicas)
-            && matches(from.gateways, own.digest.gateways);
+        let matches = matches(from.config, current.digest.config)
+            && matches(from.replicas, current.digest.replicas)
+            && matches(from.gateways, current.digest.gateways);
         if !matches {
             return Err(Error::BaseMismatch);
         }
         let mut digest = from;
-        let replicas = if from.replicas == 0 { &[] } else { own.replicas };
+        let replicas = if from.replicas == 0 { &[] } else { current.replicas };
         let replicas = self.replicas.apply(replicas, &mut digest.replicas);
-        let gateways = if from.gateways == 0 { &[] } else { own.gateways };
+        let gateways = if from.gateways == 0 { &[] } else { current.gateways };
         let gateways = self.gateways.apply(gateways, &mut digest.gateways);
-        let old = own.config.filter(|_| from.config != 0);
+        let old = current.config.filter(|_| from.config != 0);
         let config = match self.config {
             Some(patch) => Some(Arc::new(patch.apply(old, &mut digest.config))),
             None if to.config == 0 => {
--- a/core/src/gateway/leader.rs
+++ b/core/src/gateway/leader.rs
@@ -211,8 +211,9 @@
     /// Records the result of a read of the store that was sent at `sent` and answered at `now`: the
     /// revision of the leader's record, or `None` if there is no record.
     ///
-    /// A leader whose record is gone has lost its lease, even if renewals succeed: after the store
-    /// is restored from an older copy, it may grant the number of the lease to another gateway.
+    /// A leader whose record is missing has lost its lease, even if renewals succeed: after the
+    /// store is restored from an older copy, it may grant the number of the lease to another
+    /// gateway.
     pub fn observe(&mut self, now: Time, sent: Time, record: Option<u64>) {
         if self.observed.is_some_and(|at| sent < at) {
             return;
--- a/core/src/gateway/quarantine.rs
+++ b/core/src/gateway/quarantine.rs
@@ -309,14 +309,14 @@
                 |cause: &&BTreeSet<Digest>| cause.intersection(&replicas).count() >= MIN_SHARED;
             let explained: BTreeSet<Digest> =
                 causes.iter().filter(shares).flatten().copied().collect();
-            let own = crashes.iter().filter(|(_, replica)| !explained.contains(replica));
-            let own: Vec<Time> = own.map(|(at, _)| *at).collect();
-            if let Some(last) = own.last()
-                && own.len() >= CRASH_THRESHOLD
+            let unexplained = crashes.iter().filter(|(_, replica)| !explained.contains(replica));
+            let unexplained: Vec<Time> = unexplained.map(|(at, _)| *at).collect();
+            if let Some(last) = unexplained.last()
+                && unexplained.len() >= CRASH_THRESHOLD
             {
                 let duration = Span(
                     MIN_QUARANTINE.0
-                        << (own.len() - CRASH_THRESHOLD).min(MAX_CRASHES - CRASH_THRESHOLD),
+                        << (unexplained.len() - CRASH_THRESHOLD).min(MAX_CRASHES - CRASH_THRESHOLD),
                 );
                 self.quarantined.insert(fingerprint, *last + duration);
                 causes.push(replicas);
--- a/core/src/gateway/usage.rs
+++ b/core/src/gateway/usage.rs
@@ -15,8 +15,8 @@
 use super::wall::WallTime;
 use crate::time::Span;
 
-/// Number of windows kept, including the current one: those that may still be reported, and one
-/// more.
+/// Number of windows whose batches are kept: the current one, those that may still be reported, and
+/// one more.
 const WINDOWS_KEPT: u64 = 6;
 /// Upper bound on batches held, of this and other gateways together.
 const MAX_BATCHES: usize = 65_536;
@@ -106,11 +106,13 @@
     pub counts: Counts,
 }
 
+/// A batch with the state of its delivery.
 #[derive(Debug)]
-struct Held {
+struct Record {
     batch: Batch,
+    /// Whether the batch counts requests of this gateway.
     own: bool,
-    /// Short hashes of the gateways that have acknowledged it.
+    /// Short hashes of the gateways that have acknowledged the batch.
     acked: BTreeSet<u32>,
     /// Token of the leader known when the batch was received; leaders of later terms may lack it.
     token: u64,
@@ -123,17 +125,17 @@
     gateway: u32,
     incarnation: u64,
     seq: u32,
-    /// Newest window for which a batch was created after its end.
+    /// Newest window for which a batch was created after the window's end.
     last_closed: Window,
     pending: BTreeMap<Window, BTreeMap<String, u32>>,
-    held: BTreeMap<BatchId, Held>,
+    records: BTreeMap<BatchId, Record>,
 }
 
 impl Collector {
     /// An empty collector for one incarnation of a gateway.
     pub fn new(schedule: Schedule, gateway: u32, incarnation: u64) -> Collector {
-        let (pending, held) = (BTreeMap::new(), BTreeMap::new());
-        Collector { schedule, gateway, incarnation, seq: 0, last_closed: 0, pending, held }
+        let (pending, records) = (BTreeMap::new(), BTreeMap::new());
+        Collector { schedule, gateway, incarnation, seq: 0, last_closed: 0, pending, records }
     }
 
     /// Schedule of windows and of their reports.
@@ -174,7 +176,7 @@
             self.insert(batch, true, token);
         }
         let oldest = (current + 1).saturating_sub(WINDOWS_KEPT);
-        self.held.retain(|_, held| held.batch.window >= oldest);
+        self.records.retain(|_, record| record.batch.window >= oldest);
     }
 
     fn next_batch(&mut self, window: Window) -> Batch {
@@ -184,9 +186,9 @@
     }
 
     fn insert(&mut self, batch: Batch, own: bool, token: u64) {
-        if self.held.len() < MAX_BATCHES {
-            let held = Held { batch, own, acked: BTreeSet::new(), token };
-            self.held.entry(held.batch.id).or_insert(held);
+        if self.records.len() < MAX_BATCHES {
+            let record = Record { batch, own, acked: BTreeSet::new(), token };
+            self.records.entry(record.batch.id).or_insert(record);
         }
     }
 
@@ -196,8 +198,8 @@
         for batch in batches {
             let id = batch.id;
             self.insert(batch, false, token);
-            if let Some(held) = self.held.get_mut(&id) {
-                held.acked.insert(from);
+            if let Some(record) = self.records.get_mut(&id) {
+                record.acked.insert(from);
                 acks.push(id);
             }
         }
@@ -207,30 +209,32 @@
     /// Records that a gateway has acknowledged these batches.
     pub fn record_acks(&mut self, by: u32, ids: &[BatchId]) {
         for id in ids {
-            if let Some(held) = self.held.get_mut(id) {
-                held.acked.insert(by);
+            if let Some(record) = self.records.get_mut(id) {
+                record.acked.insert(by);
             }
         }
     }
 
     /// Batches to send to the leader of the term with `token`.
     pub fn pending_for_leader(&self, leader: u32, token: u64) -> Vec<Batch> {
-        self.unacked(leader, |held| held.own || held.token < token)
+        self.unacked(leader, |record| record.own || record.token < token)
     }
 
     /// Batches to send to a backup.
     pub fn pending_for_backup(&self, backup: u32) -> Vec<Batch> {
-        self.unacked(backup, |held| held.own)
+        self.unacked(backup, |record| record.own)
     }
 
-    fn unacked(&self, by: u32, filter: impl Fn(&Held) -> bool) -> Vec<Batch> {
+    /// Batches that match `filter` and that the gateway `by` has not acknowledged, as many as fit
+    /// into one datagram.
+    fn unacked(&self, by: u32, filter: impl Fn(&Record) -> bool) -> Vec<Batch> {
         let mut bytes = 0;
         // Batches of older windows are sent first, as their reports are due first.
         let mut missing: Vec<&Batch> = self
-            .held
+            .records
             .values()
-            .filter(|held| filter(held) && !held.acked.contains(&by))
-            .map(|held| &held.batch)
+            .filter(|record| filter(record) && !record.acked.contains(&by))
+            .map(|record| &record.batch)
             .collect();
         missing.sort_by_key(|batch| batch.window);
         let fits = |batch: &&Batch| {
@@ -261,8 +265,8 @@
     /// Requests of a window, as far as this gateway has received batches.
     pub fn report(&self, window: Window) -> Report {
         let mut counts = Counts::new();
-        for held in self.held.values().filter(|held| held.batch.window == window) {
-            for (name, count) in &held.batch.counts {
+        for record in self.records.values().filter(|record| record.batch.window == window) {
+            for (name, count) in &record.batch.counts {
                 *counts.entry(name.clone()).or_default() += u64::from(*count);
             }
         }
@@ -271,7 +275,7 @@
 
     /// Number of gateways with at least one received batch of a window.
     pub fn reporting_gateways(&self, window: Window) -> usize {
-        let ids = self.held.values().filter(|held| held.batch.window == window);
-        ids.map(|held| held.batch.id.gateway).collect::<BTreeSet<u32>>().len()
+        let ids = self.records.values().filter(|record| record.batch.window == window);
+        ids.map(|record| record.batch.id.gateway).collect::<BTreeSet<u32>>().len()
     }
 }
--- a/core/tests/gateway/leader/model.rs
+++ b/core/tests/gateway/leader/model.rs
@@ -83,7 +83,7 @@
     Committed(u64),
     Journal { era: Option<u64>, revision: u64 },
     Done,
-    Ended,
+    NotFound,
     Conflict,
 }
 
@@ -291,8 +291,8 @@
             return Some(Violation::TokenDecreased);
         }
         let other = before.iter().rposition(|(_, n, _)| *n != node)?;
-        let own = before[..other].iter().rfind(|(_, n, _)| *n == node)?;
-        (at.since(own.0) < TIMING.lease_duration).then_some(Violation::CooldownViolated)
+        let earlier = before[..other].iter().rfind(|(_, n, _)| *n == node)?;
+        (at.since(earlier.0) < TIMING.lease_duration).then_some(Violation::CooldownViolated)
     }
 
     fn external_event(&mut self, node: usize, event: Event) {
@@ -363,7 +363,7 @@
                 store.leases.insert(store.granted, self.now + TIMING.lease_duration);
                 Reply::Granted(store.granted)
             }
-            Call::Acquire { lease } if !store.leases.contains_key(&lease) => Reply::Ended,
+            Call::Acquire { lease } if !store.leases.contains_key(&lease) => Reply::NotFound,
             Call::Acquire { .. } if store.leader.is_some() => Reply::Conflict,
             Call::Acquire { lease } => {
                 store.revision += 1;
@@ -379,7 +379,7 @@
                     *end = self.now + TIMING.lease_duration;
                     Reply::Done
                 }
-                None => Reply::Ended,
+                None => Reply::NotFound,
             },
             Call::Release { lease } => {
                 store.leases.remove(&lease);
--- a/gateway/src/duty/orders.rs
+++ b/gateway/src/duty/orders.rs
@@ -15,9 +15,11 @@
 const SCALING_INTERVAL: Span = Span::millis(500);
 /// Age beyond which an inventory is not used.
 const MAX_INVENTORY_AGE: Span = Span::millis(2_000);
-/// Time after an outage of the store within which all live replicas register again.
+/// Time from the start of a term to the first order. The store may have lost the entries of live
+/// replicas, which register again within it.
 const REGISTRATION: Span = Span::secs(3);
-/// Share of ordinary engines, which remain if all spot instances are reclaimed.
+/// Share of the needed engines that are ordinary, and so remain if all spot instances are
+/// reclaimed.
 const ORDINARY_SHARE: f64 = 0.0;
 
 impl Term<'_> {
--- a/gateway/tests/views.rs
+++ b/gateway/tests/views.rs
@@ -117,7 +117,7 @@
         refuses.set(true);
 
         contents.borrow_mut().as_mut().unwrap().replicas.remove(7);
-        wait_until("gone everywhere", || all.iter().all(|g| open_at(g) == REPLICAS - 1)).await;
+        wait_until("closed everywhere", || all.iter().all(|g| open_at(g) == REPLICAS - 1)).await;
 
         assert!(is_reader(&all[0]));
         assert!(counter(&all[0], "call=\"read\",sound=\"false\"") > 0);
@@ -135,7 +135,7 @@
         let before = fetched_bytes(&all);
 
         contents.borrow_mut().as_mut().unwrap().replicas.remove(7);
-        wait_until("gone everywhere", || all.iter().all(|g| open_at(g) == REPLICAS - 1)).await;
+        wait_until("closed everywhere", || all.iter().all(|g| open_at(g) == REPLICAS - 1)).await;
 
         let cost = fetched_bytes(&all) - before;
         assert!(cost <= MAX_CHANGE_BYTES * GATEWAYS, "{cost} bytes");
@@ -156,7 +156,7 @@
             contents.borrow_mut().as_mut().unwrap().replicas.remove(7);
             tokio::time::sleep(CHANGE_INTERVAL).await;
         }
-        wait_until("gone everywhere", || all.iter().all(|g| open_at(g) == REPLICAS - CHANGES))
+        wait_until("closed everywhere", || all.iter().all(|g| open_at(g) == REPLICAS - CHANGES))
             .await;
 
         let cost = fetched_bytes(&all) - before;
