--- a/core/src/node/attempt.rs
+++ b/core/src/node/attempt.rs
@@ -59,7 +59,7 @@
             return;
         }
         r.delivered = r.delivered.saturating_add(frame.tokens);
-        r.first.get_or_insert(now);
+        r.first_token_at.get_or_insert(now);
         r.parts.push(frame.text.clone());
         if let Some(request) = r.streaming_caller() {
             let (tokens, text) = (frame.tokens, frame.text);
@@ -90,7 +90,7 @@
             self.on_failed(now, attempt, Failure::Broken);
             return;
         }
-        r.first.get_or_insert(now);
+        r.first_token_at.get_or_insert(now);
         let text = if r.streaming_caller().is_some() { Bytes::new() } else { r.text() };
         let outcome = Outcome::Whole { status, text, tokens: r.delivered };
         let group = r.group;
@@ -203,7 +203,7 @@
         let running = self.attempts.iter().filter_map(|(id, key)| {
             let r = self.requests.get(*key)?;
             let a = r.attempt.as_ref()?;
-            (now.since(a.last_frame) >= self.max_silence(r, a)).then_some(*id)
+            (now.since(a.last_frame) >= self.silence_timeout(r, a)).then_some(*id)
         });
         let silent: Vec<AttemptId> = running.collect();
         for id in silent {
--- a/core/src/node/dispatch.rs
+++ b/core/src/node/dispatch.rs
@@ -1,9 +1,14 @@
-//! From the queue to an upstream: budgets, preemption and the choice of replica.
+//! Dispatches queued requests to upstreams.
+//!
+//! A request goes to a replica where this router has a free slot. Requests of protected classes may
+//! go beyond the router's slots, and may preempt streams of lower tiers while the group is
+//! saturated. The headroom by which a router overcommits its slots adapts to the number of requests
+//! that wait inside the engines.
 
 use super::GroupState;
 use super::Node;
 use super::request::Attempt;
-use super::request::PROMPT_PART;
+use super::request::PROMPT_TOKENS_PER_OUTPUT_TOKEN;
 use super::request::Request;
 use crate::action::Action;
 use crate::action::Dispatch;
@@ -19,26 +24,30 @@
 use crate::upstream::STRAGGLER_SLOWNESS;
 use crate::upstream::Upstream;
 
-/// Headroom before any report.
-pub const FIRST_HEADROOM: f64 = 1.35;
-const LEAST_HEADROOM: f64 = 1.35;
-const MOST_HEADROOM: f64 = 1.5;
-/// Requests waiting in engines, as a part of their slots, that headroom aims at.
-const WAITING_AIM: f64 = 0.1;
-const HEADROOM_UP: f64 = 1.04;
-const HEADROOM_DOWN: f64 = 0.97;
-/// Part of the first-token target that an expected wait may use up before preemption pays.
-const PREEMPT_AT: f64 = 0.1;
-/// Longest time without a first token, for protected classes and for others.
-const SILENT_PROTECTED: Span = Span::millis(1_500);
-const SILENT: Span = Span::secs(8);
-/// Longest time between two tokens, for protected classes and for others.
-const GAP_PROTECTED: Span = Span::millis(400);
-const GAP: Span = Span::secs(2);
-/// Longest time without an answer to a call that may not be repeated.
-const SILENT_ONCE: Span = Span::secs(30);
+/// Factor by which slots are overcommitted before any load report.
+pub const INITIAL_HEADROOM: f64 = 1.35;
+/// Lower and upper bounds on the headroom.
+const MIN_HEADROOM: f64 = 1.35;
+const MAX_HEADROOM: f64 = 1.5;
+/// Requests that wait inside engines, as a share of their slots, above which headroom decreases.
+const TARGET_WAITING_SHARE: f64 = 0.1;
+/// Factors by which headroom changes at each adjustment.
+const HEADROOM_INCREASE: f64 = 1.04;
+const HEADROOM_DECREASE: f64 = 0.97;
+/// Share of the first-token target at which the wait, so far and expected, justifies a preemption.
+const PREEMPTION_WAIT_SHARE: f64 = 0.1;
+/// Timeouts for the first token, for protected and for other classes.
+const FIRST_TOKEN_TIMEOUT_PROTECTED: Span = Span::millis(1_500);
+const FIRST_TOKEN_TIMEOUT: Span = Span::secs(8);
+/// Timeouts between two tokens, for protected and for other classes.
+const NEXT_TOKEN_TIMEOUT_PROTECTED: Span = Span::millis(400);
+const NEXT_TOKEN_TIMEOUT: Span = Span::secs(2);
+/// Timeout for the answer to a request that must not be repeated.
+const NON_IDEMPOTENT_TIMEOUT: Span = Span::secs(30);
+/// Upper bound on preemptions of one request.
 const MAX_PREEMPTIONS: u32 = 4;
-const SERVICE_STEP: f64 = 0.02;
+/// Weight of a new sample in the mean time of an attempt.
+const ATTEMPT_TIME_SMOOTHING: f64 = 0.02;
 
 impl GroupState {
     /// Requests at upstreams and in the queue, by tier.
@@ -50,27 +59,27 @@
         wanted
     }
 
-    /// Whether more is wanted than this router's slots hold.
+    /// Whether this router's demand exceeds its slots.
     fn is_saturated(&self) -> bool {
         !self.queue.is_empty() || self.pool.outstanding >= self.pool.max_outstanding()
     }
 
-    /// Takes the time of an attempt that came to its end in.
+    /// Adds the duration of a complete attempt to the mean.
     pub(super) fn record_attempt_time(&mut self, time: Span) {
-        self.mean_attempt_s += (time.as_secs_f64() - self.mean_attempt_s) * SERVICE_STEP;
+        self.mean_attempt_s += (time.as_secs_f64() - self.mean_attempt_s) * ATTEMPT_TIME_SMOOTHING;
     }
 }
 
 impl Node {
-    /// Highest tier number that a protected class has.
+    /// Highest tier number, that is lowest priority, of the protected classes.
     pub(super) fn lowest_protected_tier(&self) -> Option<u8> {
         let classes = self.index.class_keys().map(|k| self.index.class(k));
         classes.filter(|c| c.protected).map(|c| c.tier).max()
     }
 
-    /// Sends queued requests while there is room for them.
+    /// Dispatches queued requests of a group until no replica can take the next one.
     pub(super) fn dispatch_queued(&mut self, now: Time, group: GroupKey) {
-        // Once this router's slots are taken, only tiers of protected classes may still overfill.
+        // Once this router's slots are full, only tiers of protected classes may go beyond them.
         let blocked = self.groups.get(&group).is_some_and(|s| s.blocked);
         let mut tier = match (blocked, self.lowest_protected_tier) {
             (false, _) => u8::MAX,
@@ -110,6 +119,7 @@
         }
     }
 
+    /// Chooses the replica for a queued request, or `None` if none has capacity.
     fn choose(
         &mut self,
         now: Time,
@@ -119,7 +129,7 @@
     ) -> Option<Key<Upstream>> {
         let r = self.requests.get(key)?;
         let pool = &mut self.groups.get_mut(&group)?.pool;
-        let prompt = f64::from(r.submission.prompt_tokens / PROMPT_PART);
+        let prompt = f64::from(r.submission.prompt_tokens / PROMPT_TOKENS_PER_OUTPUT_TOKEN);
         let criteria = Criteria {
             holders: self.prefixes.holders(&r.submission.prefix),
             excluded: &r.failed_upstreams,
@@ -131,7 +141,7 @@
             let urgent = r.flow.rule.protected || trickle_due;
             own.or_else(|| urgent.then(|| pool.choose_urgent(now, &self.upstreams, criteria))?)
         };
-        // If every other replica is gone or full, one that failed this request is better than none.
+        // If every other replica is gone or full, one that failed this request is tried again.
         choose(&criteria).or_else(|| {
             if r.failed_upstreams.is_empty() {
                 None
@@ -167,8 +177,8 @@
             address: up.address.clone(),
             target: r.submission.target.clone(),
             body: r.submission.body.clone(),
-            // Engines honour priorities strictly: a trickle that waited there behind every higher
-            // tier would be none.
+            // Engines apply priorities strictly: a request sent by its class's guaranteed share
+            // would wait inside the engine behind every higher tier.
             priority: if r.promoted { 0 } else { r.flow.rule.tier },
             offset: r.delivered,
             partial: if r.delivered > 0 { r.text() } else { bytes::Bytes::new() },
@@ -190,12 +200,12 @@
         self.out.push(Action::Dispatch(Box::new(dispatch)));
     }
 
-    /// The stream of a lower tier to stop for `key`, and where it runs.
+    /// The stream of a lower tier to preempt for `key`, and its upstream.
     ///
-    /// In saturation every slot is taken, and a request would wait inside an engine for one to
-    /// end: on average the time of an answer over the slots of a replica. Where that puts its
-    /// target at stake, a stream of this router gives way. It goes on later from its offset,
-    /// so nothing delivered is wasted; only its prompt is computed again.
+    /// In a saturated group the request would wait inside an engine until a slot is free: on
+    /// average the mean time of an attempt divided by the slots of a replica. If this endangers
+    /// its first-token target, a stream of this router is preempted. The stream resumes later from
+    /// its offset, so delivered tokens are not wasted and only its prompt is computed again.
     fn choose_victim(
         &self,
         now: Time,
@@ -211,28 +221,30 @@
         let slots = f64::from(self.index.group(group).slots.max(1));
         let waited = now.since(r.arrived).as_secs_f64();
         let target = self.index.class(r.flow.class).first_token.as_secs_f64();
-        if waited + state.mean_attempt_s / slots < target * PREEMPT_AT {
+        if waited + state.mean_attempt_s / slots < target * PREEMPTION_WAIT_SHARE {
             return None;
         }
-        let fit = state.preemptible.iter().rev().filter_map(|(tier, id)| {
+        let suitable = state.preemptible.iter().rev().filter_map(|(tier, id)| {
             let key = *self.attempts.get(id)?;
             let upstream = self.requests.get(key)?.attempt.as_ref()?.upstream;
             let up = self.upstreams.get(upstream)?;
-            let there = up.is_usable(now) && up.slowness() < STRAGGLER_SLOWNESS;
-            let fit = *tier > r.flow.rule.tier && there && !r.failed_upstreams.contains(&upstream);
-            fit.then_some((key, upstream))
+            let healthy = up.is_usable(now) && up.slowness() < STRAGGLER_SLOWNESS;
+            let suitable =
+                *tier > r.flow.rule.tier && healthy && !r.failed_upstreams.contains(&upstream);
+            suitable.then_some((key, upstream))
         });
-        fit.take(1).next()
+        suitable.take(1).next()
     }
 
-    /// Notes that an attempt has its first token, and may give way from now on if it is of a kind
-    /// that may. One without a token may be waiting itself, and stopping it would free nothing.
+    /// Marks an attempt as preemptible once its first token has arrived, if its request allows
+    /// preemption. An attempt without a token may still wait inside the engine, where stopping it
+    /// would free no slot.
     pub(super) fn mark_preemptible(&mut self, key: Key<Request>, id: AttemptId) {
         let Some(r) = self.requests.get(key) else {
             return;
         };
-        let may = r.is_idempotent() && !r.flow.rule.protected && !r.promoted;
-        if may
+        let allowed = r.is_idempotent() && !r.flow.rule.protected && !r.promoted;
+        if allowed
             && r.preemptions < MAX_PREEMPTIONS
             && let Some(state) = self.groups.get_mut(&r.group)
         {
@@ -240,6 +252,7 @@
         }
     }
 
+    /// Stops an attempt in favour of a higher tier and queues its request again.
     fn preempt(&mut self, now: Time, key: Key<Request>) {
         self.cancel_attempt(now, key);
         self.stats.preemptions += 1;
@@ -248,14 +261,14 @@
         };
         r.preemptions += 1;
         r.may_have_run = true;
-        // Its caller already reads the answer: it may take as long as a whole one, not only as
-        // long as a start.
+        // The caller is already reading the answer, so the request may wait until the class's
+        // target for the end of an answer, not only for its patience.
         let class = self.index.class(r.flow.class);
         let deadline = (r.arrived + class.finish).max(now + class.patience);
         self.enqueue(key, deadline);
     }
 
-    /// Stops the attempt of a request and frees its place.
+    /// Cancels the attempt of a request and frees its slot.
     pub(super) fn cancel_attempt(&mut self, now: Time, key: Key<Request>) {
         let Some(attempt) = self.release(now, key) else {
             return;
@@ -263,7 +276,7 @@
         self.out.push(Action::Cancel(attempt.id));
     }
 
-    /// Frees the place of a request's attempt that is over.
+    /// Frees the slot of a request's attempt that has ended, and returns the attempt.
     pub(super) fn release(&mut self, now: Time, key: Key<Request>) -> Option<Attempt> {
         let r = self.requests.get_mut(key)?;
         let attempt = r.attempt.take()?;
@@ -277,10 +290,10 @@
         Some(attempt)
     }
 
-    /// Moves each group's headroom towards a short queue inside its engines.
+    /// Adjusts each group's headroom to keep a short queue inside its engines.
     ///
-    /// With none, slots run empty between an end and the next start; with a long one, requests
-    /// wait where this router can no longer reorder or refuse them.
+    /// Without a queue, slots stay empty between the end of one request and the start of the next.
+    /// In a long queue, requests wait where this router can no longer reorder or refuse them.
     pub(super) fn adapt_headroom(&mut self, now: Time) {
         for state in self.groups.values_mut() {
             let members = state.pool.members.iter().filter_map(|k| self.upstreams.get(*k));
@@ -289,26 +302,26 @@
             if slots == 0 {
                 continue;
             }
-            let part = f64::from(waiting) / f64::from(slots);
-            if part > WAITING_AIM {
-                state.headroom = (state.headroom * HEADROOM_DOWN).max(LEAST_HEADROOM);
+            let share = f64::from(waiting) / f64::from(slots);
+            if share > TARGET_WAITING_SHARE {
+                state.headroom = (state.headroom * HEADROOM_DECREASE).max(MIN_HEADROOM);
             } else if !state.queue.is_empty() {
-                state.headroom = (state.headroom * HEADROOM_UP).min(MOST_HEADROOM);
+                state.headroom = (state.headroom * HEADROOM_INCREASE).min(MAX_HEADROOM);
             }
         }
     }
 
-    /// How long an attempt may be silent.
-    pub(super) fn max_silence(&self, r: &Request, attempt: &Attempt) -> Span {
+    /// Time without a sign of progress after which an attempt is given up.
+    pub(super) fn silence_timeout(&self, r: &Request, attempt: &Attempt) -> Span {
         if !r.is_idempotent() {
-            // It can't be tried elsewhere; only a truthful end is left to give.
-            return SILENT_ONCE;
+            // The request must not be sent elsewhere, so giving up early would not help it.
+            return NON_IDEMPOTENT_TIMEOUT;
         }
         match (attempt.answered, r.flow.rule.protected) {
-            (false, true) => SILENT_PROTECTED,
-            (false, false) => SILENT,
-            (true, true) => GAP_PROTECTED,
-            (true, false) => GAP,
+            (false, true) => FIRST_TOKEN_TIMEOUT_PROTECTED,
+            (false, false) => FIRST_TOKEN_TIMEOUT,
+            (true, true) => NEXT_TOKEN_TIMEOUT_PROTECTED,
+            (true, false) => NEXT_TOKEN_TIMEOUT,
         }
     }
 }
--- a/core/src/node/mod.rs
+++ b/core/src/node/mod.rs
@@ -102,7 +102,7 @@
             queue: Queue::default(),
             pool: Pool::default(),
             budget: Budget::default(),
-            headroom: dispatch::FIRST_HEADROOM,
+            headroom: dispatch::INITIAL_HEADROOM,
             running: Wanted::default(),
             preemptible: BTreeSet::new(),
             blocked: false,
--- a/core/src/node/request.rs
+++ b/core/src/node/request.rs
@@ -1,4 +1,9 @@
-//! Arrival, admission and end of requests.
+//! Admits requests, queues them, and ends them.
+//!
+//! A request is resolved to its class, organisation and group, checked against the queue and the
+//! organisation's limit, and queued until it is dispatched. Each request ends exactly once, with a
+//! whole answer or with a refusal that states whether it may have run. Only requests of callers
+//! who have gone end without an answer.
 
 use bytes::Bytes;
 
@@ -25,75 +30,76 @@
 use crate::time::Time;
 use crate::upstream::Upstream;
 
-/// Most requests queued in one group.
-const MAX_QUEUED: usize = 16_384;
-/// A queue shorter than this many seconds of work admits without an estimate of the wait.
-const SHORT_WAIT: Span = Span::secs(1);
-const RETRY_SOON: Span = Span::secs(1);
-/// Prompt tokens cost this part of an output token.
-pub(super) const PROMPT_PART: u32 = 8;
+/// Upper bound on requests queued in one group.
+const MAX_QUEUED_REQUESTS: usize = 16_384;
+/// Requests with an estimated wait up to this length are always queued.
+const ACCEPTED_WAIT: Span = Span::secs(1);
+/// Time after which callers should retry if nothing better is known.
+const DEFAULT_RETRY_AFTER: Span = Span::secs(1);
+/// Number of prompt tokens that cost as much as one output token.
+pub(super) const PROMPT_TOKENS_PER_OUTPUT_TOKEN: u32 = 8;
 
-/// Who gets the end of a request.
+/// Recipient of the outcome of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Recipient {
     /// A caller of this router.
     Caller(RequestId),
-    /// All who wait for a key.
+    /// All callers and peers that wait for the outcome of an idempotency key.
     Key(idempotency::Key),
 }
 
-/// The try in progress.
+/// An attempt in progress.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// Its number.
+    /// Number of the attempt.
     pub id: AttemptId,
-    /// Where it runs.
+    /// Upstream that runs it.
     pub upstream: Key<Upstream>,
-    /// When it was sent.
+    /// Time at which it was sent.
     pub sent: Time,
-    /// When something came of it last.
+    /// Time of the last frame; before the first one, the time at which the attempt was sent.
     pub last_frame: Time,
-    /// Whether anything came of it.
+    /// Whether a frame has arrived.
     pub answered: bool,
 }
 
-/// A request from arrival to end.
+/// A request that is queued or at an upstream.
 #[derive(Debug)]
 pub struct Request {
-    /// Who gets the end.
+    /// Recipient of the outcome.
     pub recipient: Recipient,
-    /// Its class and organisation.
+    /// Class and organisation.
     pub flow: Flow,
-    /// Its group.
+    /// Group of its target.
     pub group: GroupKey,
-    /// When it came.
+    /// Time of arrival.
     pub arrived: Time,
-    /// What the caller sent.
+    /// The caller's request.
     pub submission: Box<Submission>,
-    /// Output tokens expected.
+    /// Estimated output tokens.
     pub estimate: u32,
-    /// The try in progress.
+    /// Attempt in progress.
     pub attempt: Option<Attempt>,
-    /// Tries so far.
+    /// Number of attempts so far.
     pub attempt_count: u32,
-    /// Upstreams that failed it.
+    /// Upstreams whose attempts failed.
     pub failed_upstreams: Vec<Key<Upstream>>,
-    /// How often it was stopped for a higher tier.
+    /// Number of times that it was preempted.
     pub preemptions: u32,
-    /// Its class's trickle let it go before higher tiers.
+    /// Whether its class's trickle let it go before higher tiers.
     pub promoted: bool,
-    /// A byte of an attempt that is over may have reached an upstream that may act on it.
+    /// Whether an ended attempt may have reached an upstream that may have acted on it.
     pub may_have_run: bool,
-    /// Tokens delivered.
+    /// Number of delivered tokens.
     pub delivered: u32,
-    /// Text delivered, for a whole answer or for going on elsewhere.
+    /// Delivered text, for the whole answer or to resume the stream at another upstream.
     pub parts: Vec<Bytes>,
-    /// When the first token came.
-    pub first: Option<Time>,
+    /// Time of the first token.
+    pub first_token_at: Option<Time>,
 }
 
 impl Request {
-    /// Whether a caller hears of tokens as they come.
+    /// The caller that receives tokens as they arrive, if the request is a stream of this router.
     pub fn streaming_caller(&self) -> Option<RequestId> {
         match self.recipient {
             Recipient::Caller(id) if self.submission.stream => Some(id),
@@ -101,12 +107,12 @@
         }
     }
 
-    /// Whether it may be sent to an upstream again after one may have acted on it.
+    /// Whether it may be sent again after an upstream may have acted on it.
     pub fn is_idempotent(&self) -> bool {
         self.submission.idempotent
     }
 
-    /// Text of all parts.
+    /// All delivered text.
     pub fn text(&self) -> Bytes {
         if let [only] = self.parts.as_slice() {
             return only.clone();
@@ -114,14 +120,17 @@
         Bytes::from(self.parts.concat())
     }
 
+    /// The queue item for the rest of the request.
     fn item(&self, key: Key<Request>, deadline: Time) -> Item {
         let left = self.estimate.saturating_sub(self.delivered);
-        let cost = left.saturating_add(self.submission.prompt_tokens / PROMPT_PART).max(1);
+        let cost = left
+            .saturating_add(self.submission.prompt_tokens / PROMPT_TOKENS_PER_OUTPUT_TOKEN)
+            .max(1);
         Item { request: key, cost, deadline }
     }
 }
 
-/// A resolved submission.
+/// Class, organisation and group of a submission.
 struct Resolved {
     flow: Flow,
     group: GroupKey,
@@ -138,7 +147,7 @@
 impl Node {
     pub(super) fn on_request(&mut self, now: Time, id: RequestId, submission: Box<Submission>) {
         if self.config_version() == 0 || !self.stopping.accepts_requests() {
-            self.finish_caller(id, not_run(Reason::NotServing, RETRY_SOON));
+            self.finish_caller(id, not_run(Reason::NotServing, DEFAULT_RETRY_AFTER));
             return;
         }
         match submission.idempotency_key.clone() {
@@ -147,7 +156,7 @@
         }
     }
 
-    /// Admits a request, or ends it at once.
+    /// Admits a request, or refuses it at once.
     pub(super) fn admit_or_refuse(&mut self, now: Time, recipient: Recipient, s: Box<Submission>) {
         let resolved = match self.resolve(&s) {
             Ok(resolved) => resolved,
@@ -188,19 +197,20 @@
         now: Time,
         recipient: Recipient,
         submission: Box<Submission>,
-        to: &Resolved,
+        resolved: &Resolved,
     ) -> Result<(), (Recipient, Outcome)> {
-        let patience = self.index.class(to.flow.class).patience;
-        let org = self.index.organisation(to.flow.org);
+        let patience = self.index.class(resolved.flow.class).patience;
+        let org = self.index.organisation(resolved.flow.org);
         let limit = Limit { requests: org.requests_per_second, tokens: org.tokens_per_second };
-        let bound = if submission.max_tokens == 0 { u32::MAX } else { submission.max_tokens };
-        let estimate = self.estimator.output_tokens(to.flow.class, to.flow.org).min(bound);
+        let max_tokens = if submission.max_tokens == 0 { u32::MAX } else { submission.max_tokens };
+        let estimate =
+            self.estimator.output_tokens(resolved.flow.class, resolved.flow.org).min(max_tokens);
 
-        if let Err(outcome) = self.check_queue(now, to, patience) {
+        if let Err(outcome) = self.check_queue(now, resolved, patience) {
             return Err((recipient, outcome));
         }
         let routers = self.routers;
-        if let Err(wait) = self.limits.take(now, to.flow.org, limit, estimate, routers) {
+        if let Err(wait) = self.limits.take(now, resolved.flow.org, limit, estimate, routers) {
             return Err((recipient, not_run(Reason::OverLimit, wait)));
         }
 
@@ -210,8 +220,8 @@
         };
         let request = Request {
             recipient,
-            flow: to.flow,
-            group: to.group,
+            flow: resolved.flow,
+            group: resolved.group,
             arrived: now,
             submission,
             estimate,
@@ -223,44 +233,54 @@
             may_have_run: false,
             delivered: 0,
             parts: Vec::new(),
-            first: None,
+            first_token_at: None,
         };
         let key = self.requests.insert(request);
         if let Some(id) = caller {
             self.by_caller.insert(id, key);
         }
         self.enqueue(key, now + patience);
-        self.dispatch_queued(now, to.group);
+        self.dispatch_queued(now, resolved.group);
         Ok(())
     }
 
-    /// Refuses at once what could not start in time, and makes room in a full queue.
-    fn check_queue(&mut self, now: Time, to: &Resolved, patience: Span) -> Result<(), Outcome> {
-        let state = self.groups.entry(to.group).or_default();
+    /// Refuses a request that could not start within `patience`, and evicts one of a lower tier if
+    /// the queue is full.
+    fn check_queue(
+        &mut self,
+        now: Time,
+        resolved: &Resolved,
+        patience: Span,
+    ) -> Result<(), Outcome> {
+        let state = self.groups.entry(resolved.group).or_default();
         if state.pool.members.is_empty() {
-            return Err(not_run(Reason::NoUpstream, RETRY_SOON));
+            return Err(not_run(Reason::NoUpstream, DEFAULT_RETRY_AFTER));
         }
         if state.queue.is_empty() {
             return Ok(());
         }
-        let wait = state.queue.estimated_wait(now, to.flow);
-        if wait > patience && wait > SHORT_WAIT {
-            let over = Span(wait.0 - patience.0).max(RETRY_SOON);
-            return Err(not_run(Reason::Overloaded, over));
+        let wait = state.queue.estimated_wait(now, resolved.flow);
+        if wait > patience && wait > ACCEPTED_WAIT {
+            let excess = Span(wait.0 - patience.0).max(DEFAULT_RETRY_AFTER);
+            return Err(not_run(Reason::Overloaded, excess));
         }
-        if state.queue.len() < MAX_QUEUED {
+        if state.queue.len() < MAX_QUEUED_REQUESTS {
             return Ok(());
         }
-        match state.queue.victim(to.flow.rule.tier) {
+        match state.queue.victim(resolved.flow.rule.tier) {
             Some(victim) => {
-                self.refuse_queued(now, victim, not_run(Reason::Shed, wait.max(RETRY_SOON)));
+                self.refuse_queued(
+                    now,
+                    victim,
+                    not_run(Reason::Shed, wait.max(DEFAULT_RETRY_AFTER)),
+                );
                 Ok(())
             }
-            None => Err(not_run(Reason::Overloaded, wait.max(RETRY_SOON))),
+            None => Err(not_run(Reason::Overloaded, wait.max(DEFAULT_RETRY_AFTER))),
         }
     }
 
-    /// Puts a request in its group's queue: in front if it already ran, else behind.
+    /// Queues a request, ahead of its flow if it was already dispatched once.
     pub(super) fn enqueue(&mut self, key: Key<Request>, deadline: Time) {
         let Some(r) = self.requests.get(key) else {
             return;
@@ -274,24 +294,24 @@
         }
     }
 
-    /// Ends requests whose wait is no longer useful.
+    /// Ends queued requests whose deadline has passed.
     pub(super) fn expire(&mut self, now: Time) {
-        let mut due = Vec::new();
+        let mut expired = Vec::new();
         for state in self.groups.values() {
-            due.extend(state.queue.first_expired(now));
+            expired.extend(state.queue.first_expired(now));
         }
-        while let Some(key) = due.pop() {
+        while let Some(key) = expired.pop() {
             let Some(r) = self.requests.get(key) else {
                 continue;
             };
             let group = r.group;
-            let outcome = r.failure_outcome(Reason::Overloaded, RETRY_SOON);
+            let outcome = r.failure_outcome(Reason::Overloaded, DEFAULT_RETRY_AFTER);
             self.refuse_queued(now, key, outcome);
-            due.extend(self.groups.get(&group).and_then(|s| s.queue.first_expired(now)));
+            expired.extend(self.groups.get(&group).and_then(|s| s.queue.first_expired(now)));
         }
     }
 
-    /// Takes a request out of the queue and ends it.
+    /// Removes a request from the queue and ends it.
     pub(super) fn refuse_queued(&mut self, now: Time, key: Key<Request>, outcome: Outcome) {
         let Some(r) = self.requests.get(key) else {
             return;
@@ -308,7 +328,7 @@
             return;
         };
         let class = self.index.class(r.flow.class);
-        let first_token = r.first.map(|f| f.since(r.arrived));
+        let first_token = r.first_token_at.map(|f| f.since(r.arrived));
         let finish = now.since(r.arrived);
         let attained =
             finish <= class.finish && first_token.is_some_and(|f| f <= class.first_token);
@@ -343,10 +363,11 @@
         self.out.push(Action::Finish(id, outcome));
     }
 
-    /// Stops the work for a caller that has gone.
+    /// Stops a request whose caller has disconnected.
     ///
-    /// A keyed request goes on: its caller is expected to come back for the answer. So does a
-    /// call that may not be repeated and was sent: stopping it half-way helps nobody.
+    /// A request with an idempotency key continues, because its caller is expected to come back
+    /// for the answer. So does a non-idempotent request that was sent, because stopping it half-way
+    /// would leave its effect unknown.
     pub(super) fn on_caller_gone(&mut self, now: Time, id: RequestId) {
         self.forwards.remove(&id);
         let Some(key) = self.by_caller.remove(&id) else {
@@ -374,7 +395,7 @@
 }
 
 impl Request {
-    /// The truthful end of a request that is given up.
+    /// Outcome of a request that is given up: whether it ran, as far as this router knows.
     pub(super) fn failure_outcome(&self, reason: Reason, retry_after: Span) -> Outcome {
         let verdict = if !self.may_have_run {
             Verdict::NotRun
--- a/core/src/queue.rs
+++ b/core/src/queue.rs
@@ -1,10 +1,10 @@
-//! The queue of a group: priority between classes, fairness between organisations.
+//! Queues the requests of a group by priority between classes and fairness between organisations.
 //!
 //! The highest tier goes first; within a tier, the class whose next request has the earliest
-//! deadline. Every waiting class earns a guaranteed trickle of the tokens dispatched, so that the
-//! lowest class is served while higher ones are busy. Within a class, organisations take turns by
-//! deficit round robin in estimated tokens, so that a large organisation can't crowd out a small
-//! one.
+//! deadline. Every waiting class earns credit for a guaranteed share of the dispatched tokens, its
+//! trickle, so that the lowest class is not starved while higher ones are busy. Within a class,
+//! organisations are served by deficit round robin in estimated tokens, so that a large
+//! organisation cannot crowd out a small one.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -19,13 +19,13 @@
 use crate::time::Span;
 use crate::time::Time;
 
-/// Tokens an organisation of weight 1 may send in a turn.
+/// Tokens that an organisation of weight 1 may send in each round of the rotation.
 const QUANTUM_TOKENS: f64 = 512.0;
-/// Time constant of the measured rates, in seconds.
+/// Time constant of the measured dispatch rate, in seconds.
 const RATE_TIME_CONSTANT_S: f64 = 2.0;
-/// Lines looked at for an estimate of the wait.
+/// Upper bound on backlogs that are examined to estimate a wait.
 const MAX_SAMPLED: usize = 64;
-/// Least rate assumed, in tokens a second, before anything was measured.
+/// Lower bound on the assumed dispatch rate, in tokens per second; holds before any measurement.
 const MIN_RATE: f64 = 50.0;
 
 /// A queued request.
@@ -33,68 +33,78 @@
 pub struct Item {
     /// The request.
     pub request: Key<Request>,
-    /// Estimated tokens, at least 1.
+    /// Estimated work in output tokens, at least 1.
     pub cost: u32,
-    /// Latest useful start.
+    /// Latest time at which it is still useful to dispatch the request.
     pub deadline: Time,
 }
 
-/// The request that goes next.
+/// The request to dispatch next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Selection {
-    /// Its class.
+    /// Class of the request.
     pub class: ClassKey,
     /// The request.
     pub item: Item,
-    /// Its class's trickle is due: it goes before higher tiers, everywhere on its way.
+    /// Whether the class has enough trickle credit for the request, so that it goes before higher
+    /// tiers, here and in the engine.
     pub trickle_due: bool,
 }
 
-/// Rules of a class that the queue needs.
+/// Rules of a class that concern the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rule {
     /// Priority tier.
     pub tier: u8,
-    /// Never evicted for a lower tier.
+    /// Whether its requests are never evicted.
     pub protected: bool,
-    /// Guaranteed share of dispatched tokens, in thousandths.
+    /// Guaranteed share of the dispatched tokens, in thousandths.
     pub trickle: u32,
 }
 
-/// Where a request stands in line: its class and organisation, and their rules.
+/// Class and organisation of a request, with their rules.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Flow {
-    /// Its class.
+    /// The class.
     pub class: ClassKey,
     /// Rules of the class.
     pub rule: Rule,
-    /// Its organisation.
+    /// The organisation.
     pub org: OrgKey,
     /// Weight of the organisation.
     pub weight: u32,
 }
 
+/// Queued requests of one organisation in one class.
 #[derive(Debug)]
 struct Backlog {
     items: VecDeque<Item>,
+    /// Tokens that the organisation may still send in this round.
     deficit: f64,
     weight: f64,
+    /// Estimated tokens of all items.
     cost: u64,
+    /// Whether the organisation is in the rotation of its class.
     in_rotation: bool,
 }
 
+/// Queued requests of one class.
 #[derive(Debug)]
 struct Class {
     rule: Rule,
     backlogs: BTreeMap<OrgKey, Backlog>,
+    /// Organisations with queued requests, in the order of the round robin.
     rotation: VecDeque<OrgKey>,
+    /// Trickle credit in tokens.
     credit: f64,
     len: usize,
+    /// Estimated tokens of all items.
     cost: u64,
+    /// Total weight of the organisations in the rotation.
     weight: f64,
 }
 
-/// A rate in tokens a second with exponential forgetting.
+/// Exponentially decaying average of a rate, in tokens per second.
 #[derive(Clone, Copy, Debug, Default)]
 struct Rate {
     value: f64,
@@ -123,6 +133,7 @@
 #[derive(Debug, Default)]
 pub struct Queue {
     classes: BTreeMap<ClassKey, Class>,
+    /// All requests in the order of their deadlines.
     expiry: BTreeSet<(Time, Key<Request>)>,
     len: usize,
     dispatched: Rate,
@@ -166,7 +177,7 @@
         self.cost += u64::from(item.cost);
     }
 
-    /// The organisation whose head goes next, after as many turns as that takes.
+    /// Advances the round robin to the organisation that may send its next request, and returns it.
     fn advance(&mut self) -> Option<OrgKey> {
         loop {
             let org = *self.rotation.front()?;
@@ -185,7 +196,7 @@
         }
     }
 
-    /// Takes the organisation at the front, whose line is empty, out of the turns.
+    /// Removes the organisation at the front of the rotation; its backlog is empty.
     fn remove_front(&mut self) {
         if let Some(org) = self.rotation.pop_front()
             && let Some(backlog) = self.backlogs.remove(&org)
@@ -194,11 +205,13 @@
         }
     }
 
+    /// The next item.
     fn head(&mut self) -> Option<Item> {
         let org = self.advance()?;
         self.backlogs.get(&org)?.items.front().copied()
     }
 
+    /// Removes and returns the next item.
     fn pop(&mut self) -> Option<Item> {
         let org = self.advance()?;
         let backlog = self.backlogs.get_mut(&org)?;
@@ -226,8 +239,9 @@
         Some(item)
     }
 
-    /// Tokens that go before a new request of `org`: of every other line, as much as its turns
-    /// allow until the line of `org` is through. A sample of backlogs stands for all of a long list.
+    /// Estimated tokens that are dispatched before a new request of `org`: its own backlog, and of
+    /// every other one as much as the round robin serves in the meantime. If there are many
+    /// backlogs, the sum is extrapolated from [`MAX_SAMPLED`] of them.
     fn tokens_ahead(&self, org: OrgKey, weight: u32) -> f64 {
         let own = self.backlogs.get(&org).map_or(0, |b| b.cost) as f64;
         let rounds = own / f64::from(weight.max(1));
@@ -237,7 +251,7 @@
         (sampled * scale).max(own).min(self.cost as f64)
     }
 
-    /// The newest request of the organisation with the most queued tokens.
+    /// Newest request of the organisation with the most queued tokens.
     fn newest_of_longest(&self) -> Option<(OrgKey, Item)> {
         let longest = self.backlogs.iter().filter(|(_, b)| !b.items.is_empty());
         let (org, backlog) = longest.max_by_key(|(_, b)| b.cost)?;
@@ -246,7 +260,7 @@
 }
 
 impl Queue {
-    /// Queued requests.
+    /// Number of queued requests.
     pub fn len(&self) -> usize {
         self.len
     }
@@ -256,7 +270,7 @@
         self.len == 0
     }
 
-    /// Queued requests by tier.
+    /// Number of queued requests by tier.
     pub fn len_by_tier(&self) -> Wanted {
         let mut lens = [0; TIERS];
         for class in self.classes.values() {
@@ -267,17 +281,17 @@
         lens
     }
 
-    /// Queued requests of `class`.
+    /// Number of queued requests of `class`.
     pub fn class_len(&self, class: ClassKey) -> usize {
         self.classes.get(&class).map_or(0, |c| c.len)
     }
 
-    /// Adds a request behind those of its place.
+    /// Adds a request at the end of its flow.
     pub fn push(&mut self, flow: Flow, item: Item) {
         self.insert(flow, item, false);
     }
 
-    /// Adds a request that already ran in front of its place.
+    /// Adds a request that was already dispatched once at the front of its flow.
     pub fn push_front(&mut self, flow: Flow, item: Item) {
         self.insert(flow, item, true);
     }
@@ -291,8 +305,8 @@
         self.len += 1;
     }
 
-    /// The request that goes next, of tier `tier` or higher: one of a class whose trickle is due,
-    /// else by tier and deadline.
+    /// The request to dispatch next among those of `tier` or a higher one: one of a class with
+    /// enough trickle credit, otherwise the first by tier and deadline.
     pub fn peek(&mut self, tier: u8) -> Option<Selection> {
         let mut best: Option<(u8, Time, Selection)> = None;
         let mut trickle_due: Option<(f64, Selection)> = None;
@@ -316,7 +330,7 @@
         trickle_due.map(|(_, next)| next).or(best.map(|(_, _, next)| next))
     }
 
-    /// Takes out what [`Queue::peek`] named, and counts it as dispatched.
+    /// Removes the request that [`Queue::peek`] returned, and counts it as dispatched.
     pub fn take(&mut self, now: Time, next: Selection) {
         let Some(item) = self.classes.get_mut(&next.class).and_then(Class::pop) else {
             return;
@@ -335,7 +349,7 @@
         self.dispatched.add(now, item.cost);
     }
 
-    /// Takes a request out whose caller has gone.
+    /// Removes a request that is not to be dispatched.
     pub fn remove(&mut self, flow: Flow, request: Key<Request>) {
         let class = self.classes.get_mut(&flow.class);
         if let Some(item) = class.and_then(|c| c.remove(flow.org, request)) {
@@ -344,24 +358,24 @@
         }
     }
 
-    /// The request whose deadline passed first, if one did.
+    /// The request with the earliest deadline, if that has passed.
     pub fn first_expired(&self, now: Time) -> Option<Key<Request>> {
         self.expiry.first().filter(|(deadline, _)| *deadline <= now).map(|(_, r)| *r)
     }
 
-    /// The request to evict for one of `tier`: the newest of the longest line of the lowest tier
-    /// below it. A protected class is never evicted.
+    /// The request to evict for one of `tier`: the newest of the longest backlog in the lowest tier
+    /// below `tier`. Requests of protected classes are never evicted.
     pub fn victim(&self, tier: u8) -> Option<Key<Request>> {
         let lower = self.classes.values().filter(|c| c.rule.tier > tier && c.len > 0);
         let lowest = lower.filter(|c| !c.rule.protected).max_by_key(|c| c.rule.tier)?;
         lowest.newest_of_longest().map(|(_, i)| i.request)
     }
 
-    /// How long a new request would wait, by the measured rate.
+    /// Estimated wait of a new request, by the measured dispatch rate.
     ///
-    /// Ahead of it are the tokens of higher tiers and its organisation's fair part of its own.
-    /// Higher tiers that are still to come are left out: bursts end, and work refused for one
-    /// that has just ended would leave engines idle.
+    /// Ahead of it are the queued tokens of higher tiers and, in its own class, those that the
+    /// round robin serves first. Future requests of higher tiers are ignored: bursts end, and
+    /// requests refused because of a burst that has just ended would leave engines idle.
     pub fn estimated_wait(&self, now: Time, flow: Flow) -> Span {
         let mut ahead = 0.0;
         for (key, other) in &self.classes {
--- a/core/src/upstream.rs
+++ b/core/src/upstream.rs
@@ -1,8 +1,10 @@
-//! What a router knows of each replica, and the choice among them.
+//! Tracks the state of each replica and chooses among the replicas of a group.
 //!
-//! Load reports are late. What a report counted of other routers' work is its total less what
-//! this router had there when it was taken; this router's own part is known exactly. Corrected
-//! load is the sum, so what was sent since the report counts at once.
+//! Load reports arrive late. The load of other routers is a report's total minus the requests that
+//! this router had at the replica when the report was taken. The corrected load is the sum of that
+//! and of this router's current requests, which are known exactly, so that a request counts as soon
+//! as it is sent. A router sends ordinary requests only within the slots that its slice of the
+//! group assigns to it.
 
 use std::collections::BTreeSet;
 use std::collections::VecDeque;
@@ -16,25 +18,32 @@
 use crate::time::Span;
 use crate::time::Time;
 
+/// Retention of the number of outstanding attempts, to correct late load reports.
 const HISTORY_LENGTH: Span = Span::secs(4);
+/// Resolution of the history.
 const HISTORY_STEP: Span = Span::millis(20);
+/// Time for which a load report is used.
 const REPORT_TTL: Span = Span::secs(5);
-/// A hint that a replica is leaving holds for this long against the host list.
+/// Time for which a hint that a replica is leaving overrides the host list.
 pub const LEAVING_HINT_TTL: Span = Span::secs(60);
+/// Weight of a new sample in the mean time between tokens.
 const GAP_SMOOTHING: f64 = 0.1;
-/// Largest batch believed of a report.
+/// Upper bound on the batch size accepted from a load report.
 const MAX_SLOTS: u32 = 4_096;
+/// Upper bound on the slowness of a replica.
 const MAX_SLOWNESS: f64 = 10.0;
-/// A replica this much slower than its peers is a straggler.
+/// Slowness from which a replica is a straggler.
 pub const STRAGGLER_SLOWNESS: f64 = 2.0;
+/// Upper bound on replicas that are compared for a request, without holders of its prefix.
 const MAX_SCORED: usize = 6;
+/// Cost of a replica in another failure domain, in requests per slot.
 const OTHER_DOMAIN_COST: f64 = 0.05;
-/// Largest corrected load that urgent requests may bring about, in slots.
+/// Upper bound on the corrected load that urgent requests may cause, as a multiple of the slots.
 const MAX_URGENT_LOAD: f64 = 2.5;
-/// A replica with more reported waiting than this part of its slots gets only urgent requests.
+/// Waiting requests, as a share of the slots, above which a replica gets only urgent requests.
 const MAX_WAITING: f64 = 1.0;
 
-/// Place of a replica in its pool's order, and the slots counted for it there.
+/// Position of a replica in its pool's order, and the slots counted for it in the layout.
 #[derive(Clone, Copy, Debug)]
 struct Rank {
     load: u32,
@@ -48,27 +57,32 @@
     pub name: String,
     /// Address in the configuration.
     pub address: String,
-    /// Its group.
+    /// Group of the replica.
     pub group: GroupKey,
-    /// Failure domain it runs in.
+    /// Failure domain of the replica.
     pub failure_domain: String,
-    /// Largest batch, as reported or configured.
+    /// Largest batch, as reported, or as configured before the first report.
     pub slots: u32,
-    /// Attempts of this router in progress there.
+    /// Attempts of this router in progress at the replica.
     pub outstanding: u32,
-    /// Attempts that this router's slice lets it have there.
+    /// Upper bound on them for ordinary requests, by this router's slice.
     pub max_outstanding: u32,
-    /// Gets no new work.
+    /// Whether the replica is leaving and gets no new requests.
     pub leaving: bool,
+    /// Time of the last hint that the replica is leaving.
     leaving_hint: Option<Time>,
-    /// No longer in the configuration.
+    /// Whether the replica is no longer in the configuration.
     pub removed: bool,
-    /// Failure record.
+    /// Recent failures.
     pub outlier: outlier::Record,
+    /// Requests of other routers, by the last report.
     other_load: f64,
     reported_waiting: u32,
+    /// Time of the last report.
     reported: Option<Time>,
+    /// Number of outstanding attempts by time.
     history: VecDeque<(Time, u32)>,
+    /// Mean time between two tokens in seconds; 0 before the first sample.
     token_gap: f64,
     slowness: f64,
     tie_breaker: u32,
@@ -76,7 +90,8 @@
 }
 
 impl Upstream {
-    /// A replica of which nothing is known yet; `tie` breaks ties, unlike in other routers.
+    /// A replica without any data. `tie_breaker` orders replicas of equal load; it should differ
+    /// between routers so that they do not all prefer the same replica.
     pub fn new(
         config: &crate::config::Upstream,
         group: GroupKey,
@@ -106,24 +121,26 @@
         }
     }
 
-    /// Notes word of the replica itself, or of a peer that had it, that it is leaving.
+    /// Records a hint, from the replica itself or from a peer, that the replica is leaving.
     pub fn hint_leaving(&mut self, now: Time) {
         self.leaving = true;
         self.leaving_hint = Some(now);
     }
 
-    /// Notes whether the platform's host list names it as leaving; the list lags, so it does not
-    /// take back a hint that is younger than [`LEAVING_HINT_TTL`].
+    /// Records whether the platform's host list contains the replica as leaving. The list lags, so
+    /// its absence does not revoke a hint that is younger than [`LEAVING_HINT_TTL`].
     pub fn set_listed_leaving(&mut self, now: Time, listed: bool) {
         let has_hint = self.leaving_hint.is_some_and(|at| now.since(at) < LEAVING_HINT_TTL);
         self.leaving = listed || has_hint;
     }
 
+    /// Number of outstanding attempts at a past time.
     fn outstanding_at(&self, at: Time) -> u32 {
         let before = self.history.iter().rev().find(|(t, _)| *t <= at);
         before.or(self.history.front()).map_or(self.outstanding, |(_, n)| *n)
     }
 
+    /// Adds the number of outstanding attempts to the history.
     fn record_history(&mut self, now: Time) {
         match self.history.back_mut() {
             Some((at, n)) if now.since(*at) < HISTORY_STEP => *n = self.outstanding,
@@ -134,7 +151,7 @@
         }
     }
 
-    /// Takes a load report in.
+    /// Records a load report.
     pub fn record_report(&mut self, now: Time, load: Load) {
         let taken = now - Span(load.age);
         let total = f64::from(load.running.saturating_add(load.waiting));
@@ -146,25 +163,26 @@
         }
     }
 
-    /// Requests there by corrected load: others' by the last report, this router's exactly.
+    /// Corrected load in requests: those of other routers by the last report, and this router's
+    /// outstanding ones.
     pub fn load(&self, now: Time) -> f64 {
         let fresh = self.reported.is_some_and(|at| now.since(at) <= REPORT_TTL);
         let other_load = if fresh { self.other_load } else { 0.0 };
         other_load + f64::from(self.outstanding)
     }
 
-    /// Requests waiting inside it, by a report that is still fresh.
+    /// Requests that wait inside the replica; `None` without a recent report.
     pub fn waiting(&self, now: Time) -> Option<u32> {
         let fresh = self.reported.is_some_and(|at| now.since(at) <= REPORT_TTL);
         fresh.then_some(self.reported_waiting)
     }
 
-    /// How many times slower than its peers it is, at least 1.
+    /// Ratio of its time between tokens to the median of the group, at least 1.
     pub fn slowness(&self) -> f64 {
         self.slowness
     }
 
-    /// Takes the time between two tokens in.
+    /// Records the time in which `tokens` tokens arrived.
     pub fn record_token_gap(&mut self, gap: Span, tokens: u32) {
         let each = gap.as_secs_f64() / f64::from(tokens.max(1));
         if self.token_gap == 0.0 {
@@ -173,17 +191,19 @@
         self.token_gap += (each - self.token_gap) * GAP_SMOOTHING;
     }
 
+    /// Load per slot with one more request, multiplied by the slowness.
     fn cost(&self, now: Time) -> f64 {
         (self.load(now) + 1.0) / f64::from(self.slots.max(1)) * self.slowness
     }
 
+    /// Whether this router may send an ordinary request.
     fn has_slot(&self, now: Time) -> bool {
         let congested = f64::from(self.slots) * MAX_WAITING;
         let waiting = self.waiting(now).is_some_and(|w| f64::from(w) > congested);
         self.outstanding < self.max_outstanding && !waiting
     }
 
-    /// Whether it may get work.
+    /// Whether new requests may be sent to the replica.
     pub fn is_usable(&self, now: Time) -> bool {
         !self.leaving && !self.removed && self.outlier.state(now) != outlier::State::Ejected
     }
@@ -192,13 +212,15 @@
 /// The replicas of one group, ordered by corrected load.
 #[derive(Debug, Default)]
 pub struct Pool {
-    /// All replicas, those removed while in use included.
+    /// All replicas, including those that were removed from the configuration while in use.
     pub members: BTreeSet<Key<Upstream>>,
+    /// Usable replicas by cost in thousandths, tie breaker and key.
     ranked: BTreeSet<(u32, u32, Key<Upstream>)>,
     /// Attempts of this router in progress in the group.
     pub outstanding: u32,
-    /// Replica of each slot of the group, one slot of every replica after the other.
+    /// Replica of each slot of the group; see [`Pool::compute_layout`].
     layout: Vec<Key<Upstream>>,
+    /// Whether the layout must be computed anew.
     layout_stale: bool,
     max_outstanding: u32,
     /// Replicas where this router has slots.
@@ -207,7 +229,7 @@
 }
 
 impl Pool {
-    /// Puts the replica at its place in the order again, after a change.
+    /// Updates the position of a replica in the order after a change of its state.
     pub fn update_rank(&mut self, now: Time, arena: &mut Arena<Upstream>, key: Key<Upstream>) {
         let Some(up) = arena.get_mut(key) else {
             return;
@@ -224,23 +246,25 @@
         self.layout_stale |= before.map(|r| r.slots) != up.rank.map(|r| r.slots);
     }
 
-    /// Lays the slots of the usable replicas out: one of each in the order of names, then the
-    /// next of each. A slice of the layout touches as many replicas as it can.
+    /// Computes the order of all slots of the usable replicas: the first slot of each replica in
+    /// the order of names, then the second of each, and so on. A contiguous slice of this order
+    /// covers as many replicas as possible.
     fn compute_layout(&mut self, arena: &Arena<Upstream>) {
         let usable = self.ranked.iter().filter_map(|(_, _, k)| Some((*k, arena.get(*k)?)));
         let mut usable: Vec<(&str, u32, Key<Upstream>)> =
             usable.map(|(k, u)| (u.name.as_str(), u.slots, k)).collect();
         usable.sort_unstable();
-        let most = usable.iter().map(|(_, slots, _)| *slots).max().unwrap_or(0);
+        let max_slots = usable.iter().map(|(_, slots, _)| *slots).max().unwrap_or(0);
         self.layout.clear();
-        for round in 0..most {
+        for round in 0..max_slots {
             let open = usable.iter().filter(|(_, slots, _)| *slots > round);
             self.layout.extend(open.map(|(_, _, k)| *k));
         }
         self.layout_stale = false;
     }
 
-    /// Gives this router the slots of `slice`, `headroom` times over; at least one.
+    /// Assigns the slots of `slice` to this router, overcommitted by the factor `headroom`; at
+    /// least one.
     pub fn assign(&mut self, arena: &mut Arena<Upstream>, slice: Slice, headroom: f64) {
         if self.layout_stale {
             self.compute_layout(arena);
@@ -269,7 +293,7 @@
         }
     }
 
-    /// Counts an attempt that begins at the replica.
+    /// Records the start of an attempt at a replica.
     pub fn start_attempt(&mut self, now: Time, arena: &mut Arena<Upstream>, key: Key<Upstream>) {
         if let Some(up) = arena.get_mut(key) {
             up.outstanding += 1;
@@ -280,7 +304,7 @@
         self.update_rank(now, arena, key);
     }
 
-    /// Counts an attempt that is over at the replica.
+    /// Records the end of an attempt at a replica.
     pub fn end_attempt(&mut self, now: Time, arena: &mut Arena<Upstream>, key: Key<Upstream>) {
         if let Some(up) = arena.get_mut(key) {
             up.outstanding = up.outstanding.saturating_sub(1);
@@ -290,17 +314,17 @@
         self.update_rank(now, arena, key);
     }
 
-    /// Attempts that this router may have in the group.
+    /// Upper bound on this router's attempts in the group, without urgent requests.
     pub fn max_outstanding(&self) -> u32 {
         self.max_outstanding
     }
 
-    /// Slots of the usable replicas.
+    /// Number of slots of the usable replicas.
     pub fn slots(&self) -> u32 {
         self.layout.len() as u32
     }
 
-    /// Drops a replica that runs nothing.
+    /// Removes a replica without outstanding attempts.
     pub fn remove(&mut self, key: Key<Upstream>, arena: &Arena<Upstream>) {
         self.members.remove(&key);
         self.assigned.retain(|k| *k != key);
@@ -312,14 +336,15 @@
         }
     }
 
-    /// Whether another replica may be ejected: at most a third of the group, and never the last.
+    /// Whether another replica may be ejected: at most a third of the group, and never the last
+    /// usable one.
     pub fn may_eject(&self, arena: &Arena<Upstream>) -> bool {
         let out =
             self.members.iter().filter_map(|k| arena.get(*k)).filter(|u| u.outlier.is_suspended());
         (out.count() + 1) * 3 <= self.members.len().max(3) && self.ranked.len() > 1
     }
 
-    /// Compares the replicas' speed: slowness is the time between tokens against the median.
+    /// Updates the slowness of all replicas: the time between tokens relative to the median.
     pub fn update_slowness(&mut self, now: Time, arena: &mut Arena<Upstream>) {
         let keys: Vec<_> = self.members.iter().copied().collect();
         let known = keys.iter().filter_map(|k| arena.get(*k)).map(|u| u.token_gap);
@@ -336,10 +361,10 @@
         }
     }
 
-    /// The best replica for a request among this router's slots that are free, or none.
+    /// Chooses the replica with the lowest cost where this router has a free slot, if any.
     ///
-    /// A few free ones in turn and the holders of the prompt's prefix are scored on corrected
-    /// load, slowness, prefix and failure domain.
+    /// The candidates are the next few free replicas in round robin and the holders of the prompt's
+    /// prefix. The cost depends on corrected load, slowness, prefix and failure domain.
     pub fn choose(
         &mut self,
         now: Time,
@@ -362,60 +387,64 @@
                 break;
             }
         }
-        // A prefix can be known at another group's replicas too; work must never go there.
-        let held = criteria.holders.iter().filter(|k| self.members.contains(k)).filter(|k| free(k));
-        found.extend(held);
+        // Prefix hashes are not bound to a group: a replica of another group may hold the prefix,
+        // but must not get the request.
+        let holders =
+            criteria.holders.iter().filter(|k| self.members.contains(k)).filter(|k| free(k));
+        found.extend(holders);
         best(now, arena, &found, criteria)
     }
 
-    /// The best replica for a request that may overfill engines, which honour its priority.
+    /// Chooses the replica with the lowest cost for an urgent request, which may exceed the slots
+    /// because engines apply its priority.
     pub fn choose_urgent(
         &self,
         now: Time,
         arena: &Arena<Upstream>,
         criteria: &Criteria<'_>,
     ) -> Option<Key<Upstream>> {
-        let room = |k: &Key<Upstream>| {
+        let has_capacity = |k: &Key<Upstream>| {
             let full = |u: &Upstream| u.load(now) + 1.0 > f64::from(u.slots) * MAX_URGENT_LOAD;
             !criteria.excluded.contains(k)
                 && arena.get(*k).is_some_and(|u| u.is_usable(now) && !full(u))
         };
-        let least = self.ranked.iter().map(|(_, _, k)| *k).filter(room);
-        let found: Vec<Key<Upstream>> = least.take(MAX_SCORED).collect();
+        let cheapest = self.ranked.iter().map(|(_, _, k)| *k).filter(has_capacity);
+        let found: Vec<Key<Upstream>> = cheapest.take(MAX_SCORED).collect();
         best(now, arena, &found, criteria)
     }
 }
 
-/// What a request wants of a replica.
+/// Criteria by which the replicas of a group are compared.
 #[derive(Clone, Copy, Debug)]
 pub struct Criteria<'a> {
-    /// Replicas that hold its prompt's prefix.
+    /// Replicas that hold the prefix of the prompt.
     pub holders: &'a [Key<Upstream>],
-    /// Replicas that failed it.
+    /// Replicas that must not be chosen.
     pub excluded: &'a [Key<Upstream>],
-    /// Failure domain of the router.
+    /// Failure domain of this router.
     pub domain: &'a str,
-    /// Part of the request's work that a held prefix spares.
+    /// Share of the request's work that a cached prefix saves.
     pub cached_share: f64,
 }
 
+/// The replica of the lowest cost among `found`.
 fn best(
     now: Time,
     arena: &Arena<Upstream>,
     found: &[Key<Upstream>],
     criteria: &Criteria<'_>,
 ) -> Option<Key<Upstream>> {
-    let score = |key: &Key<Upstream>| {
+    let cost = |key: &Key<Upstream>| {
         let up = arena.get(*key)?;
-        let mut score = up.cost(now);
+        let mut cost = up.cost(now);
         if criteria.holders.contains(key) {
-            score -= criteria.cached_share / f64::from(up.slots.max(1));
+            cost -= criteria.cached_share / f64::from(up.slots.max(1));
         }
         if up.failure_domain != criteria.domain {
-            score += OTHER_DOMAIN_COST;
+            cost += OTHER_DOMAIN_COST;
         }
-        Some((score, *key))
+        Some((cost, *key))
     };
-    let scored = found.iter().filter_map(score);
-    scored.min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, k)| k)
+    let costs = found.iter().filter_map(cost);
+    costs.min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, k)| k)
 }
