--- a/ctl/src/cmd/demo.rs
+++ b/ctl/src/cmd/demo.rs
@@ -157,7 +157,7 @@
             let mut serving = 0;
             for router in &self.routers {
                 let all =
-                    router.handle.ask(|n, _| n.members().filter(|r| r.takes_callers()).count());
+                    router.handle.query(|n, _| n.members().filter(|r| r.takes_callers()).count());
                 serving += usize::from(all.await == Some(self.routers.len()));
             }
             if serving == self.routers.len() {
@@ -216,7 +216,7 @@
             let (mut attained, mut tokens) = (0, 0);
             for router in &self.routers {
                 let class = (*class).to_owned();
-                let read = router.handle.ask(move |n, _| {
+                let read = router.handle.query(move |n, _| {
                     let key = n.index().class_named(&class)?;
                     n.stats().classes.get(&key).map(|s| (s.attained, s.tokens))
                 });
@@ -234,7 +234,7 @@
             rows.push(row);
         }
         for router in &self.routers {
-            let read = router.handle.ask(|n, _| n.stats().wasted.values().sum::<u64>());
+            let read = router.handle.query(|n, _| n.stats().wasted.values().sum::<u64>());
             wasted += read.await.unwrap_or(0);
         }
         util::table(&rows);
--- a/ctl/src/cmd/relay.rs
+++ b/ctl/src/cmd/relay.rs
@@ -100,7 +100,7 @@
         .set("operator-token", "relay-operator")
         .build()?;
     let router = Router::start(settings).await?;
-    while router.handle.ask(|n, _| n.is_serving()).await != Some(true) {
+    while router.handle.query(|n, _| n.is_serving()).await != Some(true) {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
     Ok((router, key_value))
--- a/router/src/admin.rs
+++ b/router/src/admin.rs
@@ -67,7 +67,7 @@
         return Ok((state, forbidden()));
     }
     let handle = Shared::borrow_from(&state).handle.clone();
-    let value = handle.ask(read).await.unwrap_or(Value::Null);
+    let value = handle.query(read).await.unwrap_or(Value::Null);
     Ok((state, reply::json(StatusCode::OK, &value)))
 }
 
@@ -76,7 +76,7 @@
         return Ok((state, forbidden()));
     }
     let handle = Shared::borrow_from(&state).handle.clone();
-    handle.event(Event::Stop).await;
+    handle.send(Event::Stop).await;
     Ok((state, reply::json(StatusCode::ACCEPTED, &json!({ "leaving": true }))))
 }
 
--- a/router/src/api.rs
+++ b/router/src/api.rs
@@ -101,7 +101,7 @@
     let (domain, model) = (parameter(DOMAIN), parameter(MODEL));
     let handle = shared(&state).handle;
     let answer =
-        handle.ask(move |node, now| node.entry(now, domain.as_deref(), model.as_deref())).await;
+        handle.query(move |node, now| node.entry(now, domain.as_deref(), model.as_deref())).await;
     let response = match answer.flatten() {
         Some(answer) => reply::json(StatusCode::OK, &answer),
         None => {
@@ -115,7 +115,7 @@
 
 async fn models(state: State) -> HandlerResult {
     let handle = shared(&state).handle;
-    let ask = handle.ask(|node, _| {
+    let ask = handle.query(|node, _| {
         let names = node.index().models();
         names.map(|id| json!({ "id": id, "object": "model" })).collect::<Vec<_>>()
     });
--- a/router/src/driver.rs
+++ b/router/src/driver.rs
@@ -46,8 +46,8 @@
     End(Outcome),
 }
 
-/// A question that reads the node.
-pub type Question = Box<dyn FnOnce(&mut Node, Time) + Send>;
+/// A query that reads the node.
+pub type Query = Box<dyn FnOnce(&mut Node, Time) + Send>;
 
 /// One input of the driver.
 pub enum Input {
@@ -55,8 +55,8 @@
     Event(Event),
     /// A caller's request and where its parts go.
     Submit(RequestId, Box<Submission>, mpsc::Sender<Part>),
-    /// A question.
-    Ask(Question),
+    /// A query.
+    Query(Query),
 }
 
 /// A way to reach the driver.
@@ -103,7 +103,7 @@
 
 impl Handle {
     /// Gives the node an event.
-    pub async fn event(&self, event: Event) {
+    pub async fn send(&self, event: Event) {
         // An error means that the driver has exited; nobody is left to tell.
         let _ = self.inputs.send(Input::Event(event)).await;
     }
@@ -118,15 +118,15 @@
     }
 
     /// Asks the node; `None` after the driver has exited.
-    pub async fn ask<T: Send + 'static>(
+    pub async fn query<T: Send + 'static>(
         &self,
-        question: impl FnOnce(&mut Node, Time) -> T + Send + 'static,
+        query: impl FnOnce(&mut Node, Time) -> T + Send + 'static,
     ) -> Option<T> {
         let (sender, answer) = oneshot::channel();
-        let ask: Question = Box::new(move |node, now| {
-            let _ = sender.send(question(node, now));
+        let boxed: Query = Box::new(move |node, now| {
+            let _ = sender.send(query(node, now));
         });
-        self.inputs.send(Input::Ask(ask)).await.ok()?;
+        self.inputs.send(Input::Query(boxed)).await.ok()?;
         answer.await.ok()
     }
 }
@@ -202,9 +202,9 @@
                 self.callers.insert(id, sender);
                 self.feed(Event::Request(id, submission))
             }
-            Input::Ask(question) => {
+            Input::Query(query) => {
                 let now = self.now();
-                question(&mut self.node, now);
+                query(&mut self.node, now);
                 false
             }
         }
@@ -277,7 +277,7 @@
                 Some(client) => client.call(&call).await,
                 None => KvReply::Unavailable,
             };
-            handle.event(Event::Kv(call, reply)).await;
+            handle.send(Event::Kv(call, reply)).await;
         });
     }
 }
--- a/router/src/main.rs
+++ b/router/src/main.rs
@@ -55,7 +55,7 @@
                 _ = terminate.recv() => {}
                 _ = interrupt.recv() => {}
             }
-            handle.event(laburnumwheel_core::event::Event::Stop).await;
+            handle.send(laburnumwheel_core::event::Event::Stop).await;
         }
     });
     router.wait().await;
--- a/router/src/metrics.rs
+++ b/router/src/metrics.rs
@@ -78,7 +78,7 @@
 pub async fn run(router: String, to: SocketAddr, handle: Handle) {
     let client = client(&router, Some(to));
     let mut sent: BTreeMap<(String, String), u64> = BTreeMap::new();
-    while let Some(reading) = handle.ask(|node, _| read(node)).await {
+    while let Some(reading) = handle.query(|node, _| read(node)).await {
         for (key, value) in reading.totals {
             let before = sent.insert(key.clone(), value).unwrap_or(0);
             let delta = value.saturating_sub(before) as i64;
--- a/router/src/peer.rs
+++ b/router/src/peer.rs
@@ -134,7 +134,7 @@
         let message = codec::decode_message(&envelope.payload)
             .map_err(|e| Status::invalid_argument(e.to_string()))?;
         let (from, incarnation) = (envelope.from, envelope.incarnation);
-        self.handle.event(Event::Peer { from, incarnation, message }).await;
+        self.handle.send(Event::Peer { from, incarnation, message }).await;
         Ok(Response::new(Receipt {}))
     }
 }
--- a/router/src/poll.rs
+++ b/router/src/poll.rs
@@ -30,7 +30,7 @@
 pub async fn run(client: Client, handle: Handle) {
     loop {
         let list = handle
-            .ask(|node, _| {
+            .query(|node, _| {
                 let known = node.upstreams().filter(|u| !u.removed);
                 known.map(|u| (u.name.clone(), u.address.clone())).collect::<Vec<_>>()
             })
@@ -64,7 +64,7 @@
         slots: report.slots,
     };
     if let Some(deployment) = report.deployment {
-        handle.event(Event::Deployed(name.clone(), deployment)).await;
+        handle.send(Event::Deployed(name.clone(), deployment)).await;
     }
-    handle.event(Event::Load(name, load)).await;
+    handle.send(Event::Load(name, load)).await;
 }
--- a/router/src/router.rs
+++ b/router/src/router.rs
@@ -120,7 +120,7 @@
 
     /// Begins a planned stop.
     pub async fn stop(&self) {
-        self.handle.event(Event::Stop).await;
+        self.handle.send(Event::Stop).await;
     }
 
     /// Waits until a planned stop is complete.
--- a/router/src/upstream.rs
+++ b/router/src/upstream.rs
@@ -113,7 +113,7 @@
         let limit = Duration::from_micros(DELAY.0);
         let result = tokio::time::timeout(limit, self.send_order(&order)).await;
         let result = result.unwrap_or(OrderResult::Unknown);
-        handle.event(Event::Ordered(order.upstream, result)).await;
+        handle.send(Event::Ordered(order.upstream, result)).await;
     }
 
     async fn send_order(&self, order: &Order) -> OrderResult {
@@ -145,7 +145,7 @@
             End::Whole(echo, status) => Event::Ended { attempt, echo, status },
             End::Failed(failure) => Event::Failed(attempt, failure),
         };
-        handle.event(event).await;
+        handle.send(event).await;
     }
 
     fn label(&self, attempt: AttemptId) -> String {
@@ -229,7 +229,7 @@
                 }
                 let frame = Event::Frame { attempt, echo, offset, tokens: 1, text: text.into() };
                 offset = offset.saturating_add(1);
-                to.event(frame).await;
+                to.send(frame).await;
             }
         }
         End::Failed(Failure::Broken)
@@ -245,7 +245,7 @@
             return End::Failed(Failure::Broken);
         };
         let offset = d.offset;
-        to.event(Event::Frame { attempt, echo, offset, tokens: 0, text }).await;
+        to.send(Event::Frame { attempt, echo, offset, tokens: 0, text }).await;
         End::Whole(echo, status)
     }
 }
