--- a/ctl/src/cmd/apply.rs
+++ b/ctl/src/cmd/apply.rs
@@ -5,8 +5,8 @@
 
 use hyper::Method;
 use laburnumwheel_router::publish;
-use laburnumwheel_router::publish::Accepted;
 use laburnumwheel_router::publish::Change;
+use laburnumwheel_router::publish::Outcome;
 
 use crate::client::Client;
 use crate::error::Error;
@@ -42,11 +42,11 @@
     util::block_on(async {
         let kv = args.key_value()?;
         let version = match publish::apply(&kv, &change).await? {
-            Accepted::As(version) => {
+            Outcome::Accepted(version) => {
                 println!("accepted as version {version} (operation {})", change.operation);
                 version
             }
-            Accepted::Unchanged(version) => {
+            Outcome::Unchanged(version) => {
                 println!("unchanged: version {version} has these contents");
                 version
             }
--- a/ctl/src/cmd/history.rs
+++ b/ctl/src/cmd/history.rs
@@ -24,13 +24,16 @@
     let last: u64 = args.parse("last")?.unwrap_or(10);
     util::block_on(async {
         let kv = args.key_value()?;
-        let (root, _) = publish::root(&kv).await?;
+        let (root, _) = publish::read_root(&kv).await?;
         let mut newer = root.clone();
         let oldest = root.version.saturating_sub(last);
         for version in (oldest..root.version).rev() {
-            let older = publish::history(&kv, version).await?;
-            let (a, b) = (publish::load(&kv, &older).await?, publish::load(&kv, &newer).await?);
-            let changed = publish::difference(&a, &b);
+            let older = publish::read_past_root(&kv, version).await?;
+            let (a, b) = (
+                publish::read_config(&kv, &older).await?,
+                publish::read_config(&kv, &newer).await?,
+            );
+            let changed = publish::describe_difference(&a, &b);
             println!("{}  operation {}  changed: {changed}", newer.version, newer.operation);
             newer = older;
         }
--- a/ctl/src/cmd/show.rs
+++ b/ctl/src/cmd/show.rs
@@ -24,13 +24,13 @@
     util::block_on(async {
         let kv = args.key_value()?;
         let root = match args.parse("version-number")? {
-            Some(version) => publish::history(&kv, version).await?,
-            None => publish::root(&kv).await?.0,
+            Some(version) => publish::read_past_root(&kv, version).await?,
+            None => publish::read_root(&kv).await?.0,
         };
         if root.version == 0 {
             return Err(Error::Failed("no such version".to_owned()));
         }
-        let config = publish::load(&kv, &root).await?;
+        let config = publish::read_config(&kv, &root).await?;
         let text = serde_json::to_string_pretty(&config).unwrap_or_default();
         println!("{text}");
         Ok(())
--- a/ctl/src/error.rs
+++ b/ctl/src/error.rs
@@ -41,7 +41,7 @@
         match self {
             Error::Usage(_) | Error::Config(_) => 2,
             Error::Publish(publish::Error::Conflict { .. }) => 3,
-            Error::Publish(publish::Error::Unknown(..)) => 4,
+            Error::Publish(publish::Error::OutcomeUnknown(..)) => 4,
             _ => 1,
         }
     }
--- a/router/src/publish.rs
+++ b/router/src/publish.rs
@@ -32,9 +32,9 @@
 
 /// How a change ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Accepted {
+pub enum Outcome {
     /// It is this version.
-    As(u64),
+    Accepted(u64),
     /// The version in force already has these contents.
     Unchanged(u64),
 }
@@ -59,7 +59,7 @@
     },
     /// The service did not answer; whether the change was accepted is not known.
     #[error("outcome unknown: the key-value service does not answer ({0}); operation {1}")]
-    Unknown(Status, String),
+    OutcomeUnknown(Status, String),
     /// The service did not answer before anything was accepted.
     #[error("the key-value service does not answer: {0}; nothing was accepted")]
     Unavailable(Status),
@@ -68,7 +68,7 @@
     Shard(#[from] shard::Error),
     /// What the service holds is no root.
     #[error("the stored root can't be read: {0}")]
-    Root(serde_json::Error),
+    MalformedRoot(serde_json::Error),
 }
 
 /// Key of a version in the history.
@@ -80,25 +80,25 @@
 ///
 /// # Errors
 ///
-/// [`Error::Unavailable`] or [`Error::Root`].
-pub async fn root(kv: &Client) -> Result<(Root, i64), Error> {
-    read_root(kv, ROOT_KEY).await
+/// [`Error::Unavailable`] or [`Error::MalformedRoot`].
+pub async fn read_root(kv: &Client) -> Result<(Root, i64), Error> {
+    read_root_at(kv, ROOT_KEY).await
 }
 
 /// Reads the root of an earlier version; the default root if there is none.
 ///
 /// # Errors
 ///
-/// [`Error::Unavailable`] or [`Error::Root`].
-pub async fn history(kv: &Client, version: u64) -> Result<Root, Error> {
-    Ok(read_root(kv, &history_key(version)).await?.0)
+/// [`Error::Unavailable`] or [`Error::MalformedRoot`].
+pub async fn read_past_root(kv: &Client, version: u64) -> Result<Root, Error> {
+    Ok(read_root_at(kv, &history_key(version)).await?.0)
 }
 
-async fn read_root(kv: &Client, key: &str) -> Result<(Root, i64), Error> {
+async fn read_root_at(kv: &Client, key: &str) -> Result<(Root, i64), Error> {
     match kv.get(key).await.map_err(Error::Unavailable)? {
         None => Ok((Root::default(), 0)),
         Some((value, revision)) => {
-            let root = serde_json::from_slice(&value).map_err(Error::Root)?;
+            let root = serde_json::from_slice(&value).map_err(Error::MalformedRoot)?;
             Ok((root, revision))
         }
     }
@@ -109,7 +109,7 @@
 /// # Errors
 ///
 /// [`Error::Unavailable`], or [`Error::Shard`] if a shard is missing or broken.
-pub async fn load(kv: &Client, root: &Root) -> Result<Config, Error> {
+pub async fn read_config(kv: &Client, root: &Root) -> Result<Config, Error> {
     let mut contents = std::collections::BTreeMap::new();
     for hash in root.shards.values() {
         let key = format!("{SHARD_PREFIX}{hash}");
@@ -124,19 +124,19 @@
 ///
 /// # Errors
 ///
-/// [`Error::Conflict`] if another change came first; [`Error::Unknown`] only when the service
+/// [`Error::Conflict`] if another change came first; [`Error::OutcomeUnknown`] only when the service
 /// stays out of reach after the swap was sent.
-pub async fn apply(kv: &Client, change: &Change) -> Result<Accepted, Error> {
-    let (old, revision) = root(kv).await?;
+pub async fn apply(kv: &Client, change: &Change) -> Result<Outcome, Error> {
+    let (old, revision) = read_root(kv).await?;
     if let Some(expected) = change.expected
         && expected != old.version
     {
-        let before = history(kv, expected).await?;
-        return Err(conflict(kv, expected, &before, &old).await);
+        let before = read_past_root(kv, expected).await?;
+        return Err(conflict_error(kv, expected, &before, &old).await);
     }
     let shards = shard::split(&change.config)?;
     if old.version > 0 && shards.parts == old.shards {
-        return Ok(Accepted::Unchanged(old.version));
+        return Ok(Outcome::Unchanged(old.version));
     }
     let known: std::collections::BTreeSet<_> = old.shards.values().collect();
     for (hash, content) in shards.contents.iter().filter(|(h, _)| !known.contains(h)) {
@@ -148,39 +148,39 @@
         operation: change.operation.clone(),
         shards: shards.parts,
     };
-    swap(kv, &old, revision, &new).await
+    swap_root(kv, &old, revision, &new).await
 }
 
-async fn swap(kv: &Client, old: &Root, revision: i64, new: &Root) -> Result<Accepted, Error> {
-    let text = serde_json::to_vec(new).map_err(Error::Root)?;
+async fn swap_root(kv: &Client, old: &Root, revision: i64, new: &Root) -> Result<Outcome, Error> {
+    let text = serde_json::to_vec(new).map_err(Error::MalformedRoot)?;
     let value = Bytes::from(text);
     let values = vec![(ROOT_KEY.to_owned(), value.clone()), (history_key(new.version), value)];
     let mut lost = None;
     for _ in 0..TRIES {
         // Sending the same swap again is safe: it applies only to the revision read above.
         match kv.swap_all(ROOT_KEY, revision, values.clone()).await {
-            Ok(Some(_)) => return Ok(Accepted::As(new.version)),
+            Ok(Some(_)) => return Ok(Outcome::Accepted(new.version)),
             Ok(None) => {
-                let Ok(stored) = history(kv, new.version).await else {
+                let Ok(stored) = read_past_root(kv, new.version).await else {
                     continue;
                 };
                 if stored.operation == new.operation {
                     // An earlier try took effect and its reply was lost.
-                    return Ok(Accepted::As(new.version));
+                    return Ok(Outcome::Accepted(new.version));
                 }
-                let (found, _) = root(kv).await?;
-                return Err(conflict(kv, old.version, old, &found).await);
+                let (found, _) = read_root(kv).await?;
+                return Err(conflict_error(kv, old.version, old, &found).await);
             }
             Err(status) => lost = Some(status),
         }
     }
     let status = lost.unwrap_or_else(|| Status::unavailable("no answer"));
-    Err(Error::Unknown(status, new.operation.clone()))
+    Err(Error::OutcomeUnknown(status, new.operation.clone()))
 }
 
-async fn conflict(kv: &Client, expected: u64, before: &Root, found: &Root) -> Error {
-    let changed = match (load(kv, before).await, load(kv, found).await) {
-        (Ok(a), Ok(b)) => difference(&a, &b),
+async fn conflict_error(kv: &Client, expected: u64, before: &Root, found: &Root) -> Error {
+    let changed = match (read_config(kv, before).await, read_config(kv, found).await) {
+        (Ok(a), Ok(b)) => describe_difference(&a, &b),
         _ => "unknown".to_owned(),
     };
     let operation = found.operation.clone();
@@ -188,16 +188,16 @@
 }
 
 /// Names of the entries that differ between two configurations.
-pub fn difference(a: &Config, b: &Config) -> String {
+pub fn describe_difference(a: &Config, b: &Config) -> String {
     let mut names = Vec::new();
-    names.extend(differing("class", &a.classes, &b.classes, |c| &c.name));
-    names.extend(differing("group", &a.groups, &b.groups, |g| &g.name));
-    names.extend(differing("upstream", &a.upstreams, &b.upstreams, |u| &u.name));
-    names.extend(differing("organisation", &a.organisations, &b.organisations, |o| &o.name));
+    names.extend(find_differing("class", &a.classes, &b.classes, |c| &c.name));
+    names.extend(find_differing("group", &a.groups, &b.groups, |g| &g.name));
+    names.extend(find_differing("upstream", &a.upstreams, &b.upstreams, |u| &u.name));
+    names.extend(find_differing("organisation", &a.organisations, &b.organisations, |o| &o.name));
     if names.is_empty() { "nothing".to_owned() } else { names.join(", ") }
 }
 
-fn differing<T: PartialEq>(
+fn find_differing<T: PartialEq>(
     kind: &str,
     a: &[T],
     b: &[T],
--- a/router/tests/publish.rs
+++ b/router/tests/publish.rs
@@ -7,9 +7,9 @@
 use laburnumwheel_core::config::Config;
 use laburnumwheel_router::kv;
 use laburnumwheel_router::publish;
-use laburnumwheel_router::publish::Accepted;
 use laburnumwheel_router::publish::Change;
 use laburnumwheel_router::publish::Error;
+use laburnumwheel_router::publish::Outcome;
 use laburnumwheel_standin::kv::Mode;
 
 use support::Site;
@@ -33,14 +33,14 @@
     site.key_value.set_mode(Mode::LoseReplies);
     let lost = publish::apply(&kv, &wanted).await;
     site.key_value.set_mode(Mode::Up);
-    let (root, _) = publish::root(&kv).await.expect("a root");
+    let (root, _) = publish::read_root(&kv).await.expect("a root");
     let again = publish::apply(&kv, &wanted).await;
 
     // Assert
-    assert!(matches!(lost, Err(Error::Unavailable(_) | Error::Unknown(..))), "{lost:?}");
-    let settled = matches!(again, Ok(Accepted::As(2) | Accepted::Unchanged(2)));
+    assert!(matches!(lost, Err(Error::Unavailable(_) | Error::OutcomeUnknown(..))), "{lost:?}");
+    let settled = matches!(again, Ok(Outcome::Accepted(2) | Outcome::Unchanged(2)));
     assert!(settled, "{again:?}, root {root:?}");
-    assert_eq!(publish::root(&kv).await.expect("a root").0.version, 2);
+    assert_eq!(publish::read_root(&kv).await.expect("a root").0.version, 2);
 }
 
 /// Two operators edit version 1 at the same time. One is accepted; the other hears of a conflict
@@ -61,7 +61,7 @@
         .into_iter()
         .filter_map(|r| match r {
             Err(Error::Conflict { expected: 1, found: 2, changed, .. }) => Some(changed),
-            Ok(Accepted::As(2)) => None,
+            Ok(Outcome::Accepted(2)) => None,
             other => panic!("{other:?}"),
         })
         .collect();
