--- a/router/src/admin.rs
+++ b/router/src/admin.rs
@@ -22,7 +22,7 @@
 
 use crate::driver::Handle;
 use crate::reply;
-use crate::reply::Fault;
+use crate::reply::Error;
 
 const QUANTILES: [(&str, f64); 4] = [("p50", 0.5), ("p95", 0.95), ("p99", 0.99), ("max", 1.0)];
 
@@ -58,8 +58,8 @@
 }
 
 fn forbidden() -> Response<Body> {
-    let fault = Fault::bad_request("not_an_operator", "the operator token is missing or wrong");
-    reply::fault(StatusCode::UNAUTHORIZED, &fault)
+    let error = Error::bad_request("not_an_operator", "the operator token is missing or wrong");
+    reply::error(StatusCode::UNAUTHORIZED, &error)
 }
 
 async fn view(state: State, read: fn(&mut Node, Time) -> Value) -> HandlerResult {
--- a/router/src/api.rs
+++ b/router/src/api.rs
@@ -33,7 +33,7 @@
 use crate::driver::Handle;
 use crate::driver::Part;
 use crate::reply;
-use crate::reply::Fault;
+use crate::reply::Error;
 use crate::reply::Shape;
 
 /// Largest request body, in bytes.
@@ -75,8 +75,8 @@
 /// A response that ends a handler early.
 type Refused = Box<Response<Body>>;
 
-fn refused(status: StatusCode, fault: &Fault) -> Refused {
-    Box::new(reply::fault(status, fault))
+fn refused(status: StatusCode, error: &Error) -> Refused {
+    Box::new(reply::error(status, error))
 }
 
 fn shared(state: &State) -> Shared {
@@ -105,9 +105,9 @@
     let response = match answer.flatten() {
         Some(answer) => reply::json(StatusCode::OK, &answer),
         None => {
-            let mut fault = Fault::bad_request("no_router", "no router takes callers now");
-            fault.retry_after_ms = Some(1_000);
-            reply::fault(StatusCode::SERVICE_UNAVAILABLE, &fault)
+            let mut error = Error::bad_request("no_router", "no router takes callers now");
+            error.retry_after_ms = Some(1_000);
+            reply::error(StatusCode::SERVICE_UNAVAILABLE, &error)
         }
     };
     Ok((state, response))
@@ -127,7 +127,7 @@
 async fn read_body(state: &mut State) -> Result<Bytes, Refused> {
     let body = Limited::new(Body::take_from(state), MAX_BODY);
     let refuse = |status, code, message: &str| {
-        let mut response = reply::fault(status, &Fault::bad_request(code, message));
+        let mut response = reply::error(status, &Error::bad_request(code, message));
         // What the sender still has to send is not read, so the connection can't be used again.
         let close = hyper::header::HeaderValue::from_static("close");
         response.headers_mut().insert(hyper::header::CONNECTION, close);
@@ -154,8 +154,8 @@
         Some("false") => Ok(false),
         Some(other) => {
             let message = format!("{IDEMPOTENT} is `{other}`, not true or false");
-            let fault = Fault::bad_request("bad_header", message);
-            Err(refused(StatusCode::BAD_REQUEST, &fault))
+            let error = Error::bad_request("bad_header", message);
+            Err(refused(StatusCode::BAD_REQUEST, &error))
         }
     }
 }
@@ -197,7 +197,7 @@
 
 async fn complete(state: &mut State, shape: Shape) -> Result<Response<Body>, Refused> {
     let bad = |e: &dyn std::fmt::Display| {
-        reply::fault(StatusCode::BAD_REQUEST, &Fault::bad_request("bad_body", e.to_string()))
+        reply::error(StatusCode::BAD_REQUEST, &Error::bad_request("bad_body", e.to_string()))
     };
     let headers = HeaderMap::take_from(state);
     let bytes = read_body(state).await?;
@@ -214,20 +214,22 @@
     let mut caller = shared.handle.submit(submission).await;
     let id = format!("chatcmpl-{}-{}", shared.identity, caller.id());
     match caller.next().await {
-        Some(Part::End(Outcome::Refused(r))) => Err(refused(reply::status(&r), &Fault::of(&r))),
+        Some(Part::End(Outcome::Refused(r))) => {
+            Err(refused(reply::status(&r), &Error::from_refusal(&r)))
+        }
         Some(Part::End(Outcome::Whole { status: 200, text, tokens })) => {
             let text = String::from_utf8_lossy(&text);
             if head.stream {
                 let first = reply::chunk(shape, &quoted(&id), &quoted(&head.model), &text);
-                let whole = [first, reply::done()].concat();
-                return Ok(reply::events(reply::full(whole)));
+                let whole = [first, reply::end_event()].concat();
+                return Ok(reply::event_stream(reply::full(whole)));
             }
-            Ok(reply::whole(shape, &id, &head.model, &text, (prompt_tokens, tokens)))
+            Ok(reply::completion(shape, &id, &head.model, &text, (prompt_tokens, tokens)))
         }
-        Some(Part::End(Outcome::Whole { status, text, .. })) => Ok(reply::passed(status, text)),
+        Some(Part::End(Outcome::Whole { status, text, .. })) => Ok(reply::forward(status, text)),
         Some(Part::Text(first)) => {
             let stream = Stream { caller, shape, id: quoted(&id), model: quoted(&head.model) };
-            Ok(reply::events(stream.body(first)))
+            Ok(reply::event_stream(stream.body(first)))
         }
         None => Err(lost()),
     }
@@ -235,9 +237,9 @@
 
 /// The driver is gone, or gave this caller up.
 fn lost() -> Refused {
-    let mut fault = Fault::incomplete("the router stopped before the answer was whole");
-    fault.verdict = "outcome_unknown".to_owned();
-    refused(StatusCode::BAD_GATEWAY, &fault)
+    let mut error = Error::incomplete("the router stopped before the answer was whole");
+    error.verdict = "outcome_unknown".to_owned();
+    refused(StatusCode::BAD_GATEWAY, &error)
 }
 
 async fn call_service(state: &mut State) -> Result<Response<Body>, Refused> {
@@ -257,8 +259,10 @@
     let submission = submission(&headers, target, bytes, idempotent)?;
     let mut caller = shared(state).handle.submit(submission).await;
     match caller.next().await {
-        Some(Part::End(Outcome::Whole { status, text, .. })) => Ok(reply::passed(status, text)),
-        Some(Part::End(Outcome::Refused(r))) => Err(refused(reply::status(&r), &Fault::of(&r))),
+        Some(Part::End(Outcome::Whole { status, text, .. })) => Ok(reply::forward(status, text)),
+        Some(Part::End(Outcome::Refused(r))) => {
+            Err(refused(reply::status(&r), &Error::from_refusal(&r)))
+        }
         Some(Part::Text(_)) | None => Err(lost()),
     }
 }
@@ -286,12 +290,14 @@
             let mut state = state?;
             match state.caller.next().await {
                 Some(Part::Text(text)) => Some((state.chunk(&text), Some(state))),
-                Some(Part::End(Outcome::Whole { .. })) => Some((reply::done(), None)),
-                Some(Part::End(Outcome::Refused(r))) => Some((reply::broken(&Fault::of(&r)), None)),
+                Some(Part::End(Outcome::Whole { .. })) => Some((reply::end_event(), None)),
+                Some(Part::End(Outcome::Refused(r))) => {
+                    Some((reply::error_event(&Error::from_refusal(&r)), None))
+                }
                 None => {
-                    let fault =
-                        Fault::incomplete("the stream was given up; was it read too slowly?");
-                    Some((reply::broken(&fault), None))
+                    let error =
+                        Error::incomplete("the stream was given up; was it read too slowly?");
+                    Some((reply::error_event(&error), None))
                 }
             }
         });
--- a/router/src/reply.rs
+++ b/router/src/reply.rs
@@ -16,7 +16,7 @@
 
 /// A typed error, as callers read it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Fault {
+pub struct Error {
     /// What is known: `not_run`, `outcome_unknown` or `incomplete`.
     #[serde(rename = "type")]
     pub verdict: String,
@@ -29,10 +29,10 @@
     pub retry_after_ms: Option<u64>,
 }
 
-impl Fault {
-    /// A fault in the request itself, found before anything ran.
-    pub fn bad_request(code: &str, message: impl ToString) -> Fault {
-        Fault {
+impl Error {
+    /// An error in the request itself, found before anything ran.
+    pub fn bad_request(code: &str, message: impl ToString) -> Error {
+        Error {
             verdict: Verdict::NotRun.to_string(),
             code: code.to_owned(),
             message: message.to_string(),
@@ -40,9 +40,9 @@
         }
     }
 
-    /// The fault that a refusal of the core stands for.
-    pub fn of(refusal: &Refusal) -> Fault {
-        Fault {
+    /// Converts a refusal of the node.
+    pub fn from_refusal(refusal: &Refusal) -> Error {
+        Error {
             verdict: refusal.verdict.to_string(),
             code: refusal.reason.to_string(),
             message: message(refusal.reason).to_owned(),
@@ -52,8 +52,8 @@
     }
 
     /// A stream that ended before its answer was whole.
-    pub fn incomplete(message: &str) -> Fault {
-        Fault {
+    pub fn incomplete(message: &str) -> Error {
+        Error {
             verdict: Verdict::Incomplete.to_string(),
             code: "stream_broken".to_owned(),
             message: message.to_owned(),
@@ -120,9 +120,9 @@
 }
 
 /// A typed error.
-pub fn fault(status: StatusCode, fault: &Fault) -> Response<Body> {
-    let mut response = json(status, &json!({ "error": fault }));
-    if let Some(ms) = fault.retry_after_ms {
+pub fn error(status: StatusCode, error: &Error) -> Response<Body> {
+    let mut response = json(status, &json!({ "error": error }));
+    if let Some(ms) = error.retry_after_ms {
         let seconds = ms.div_ceil(1000).max(1);
         response.headers_mut().insert(header::RETRY_AFTER, seconds.into());
     }
@@ -130,7 +130,7 @@
 }
 
 /// A plain service's answer as it came.
-pub fn passed(status: u16, text: Bytes) -> Response<Body> {
+pub fn forward(status: u16, text: Bytes) -> Response<Body> {
     let status = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
     let looks_json = matches!(text.first(), Some(b'{' | b'['));
     let content_type = if looks_json { "application/json" } else { "text/plain; charset=utf-8" };
@@ -138,7 +138,7 @@
 }
 
 /// A stream of server-sent events.
-pub fn events(body: Body) -> Response<Body> {
+pub fn event_stream(body: Body) -> Response<Body> {
     build(StatusCode::OK, "text/event-stream", body)
 }
 
@@ -152,7 +152,13 @@
 }
 
 /// A whole answer.
-pub fn whole(shape: Shape, id: &str, model: &str, text: &str, usage: (u32, u32)) -> Response<Body> {
+pub fn completion(
+    shape: Shape,
+    id: &str,
+    model: &str,
+    text: &str,
+    usage: (u32, u32),
+) -> Response<Body> {
     let choice = match shape {
         Shape::Chat => json!({
             "index": 0,
@@ -199,12 +205,12 @@
 }
 
 /// The end of a whole stream.
-pub fn done() -> Bytes {
+pub fn end_event() -> Bytes {
     Bytes::from_static(b"data: [DONE]\n\n")
 }
 
 /// The end of a stream that is not whole: an error event and no `[DONE]`.
-pub fn broken(fault: &Fault) -> Bytes {
-    let text = serde_json::to_string(&json!({ "error": fault })).unwrap_or_default();
+pub fn error_event(error: &Error) -> Bytes {
+    let text = serde_json::to_string(&json!({ "error": error })).unwrap_or_default();
     Bytes::from(format!("event: error\ndata: {text}\n\n"))
 }
