--- a/router/src/api.rs
+++ b/router/src/api.rs
@@ -37,7 +37,7 @@
 use crate::reply::Shape;
 
 /// Largest request body, in bytes.
-pub const MAX_BODY: usize = 1 << 20;
+pub const MAX_BODY_BYTES: usize = 1 << 20;
 /// A sender of a body may take this long.
 const BODY_TIMEOUT: Duration = Duration::from_secs(15);
 const CLASS: &str = "x-class";
@@ -125,7 +125,7 @@
 }
 
 async fn read_body(state: &mut State) -> Result<Bytes, Refused> {
-    let body = Limited::new(Body::take_from(state), MAX_BODY);
+    let body = Limited::new(Body::take_from(state), MAX_BODY_BYTES);
     let refuse = |status, code, message: &str| {
         let mut response = reply::error(status, &Error::bad_request(code, message));
         // What the sender still has to send is not read, so the connection can't be used again.
@@ -136,7 +136,7 @@
     match tokio::time::timeout(BODY_TIMEOUT, body.collect()).await {
         Ok(Ok(collected)) => Ok(collected.to_bytes()),
         Ok(Err(e)) if e.is::<http_body_util::LengthLimitError>() => {
-            let message = format!("the body is over {MAX_BODY} bytes");
+            let message = format!("the body is over {MAX_BODY_BYTES} bytes");
             Err(refuse(StatusCode::PAYLOAD_TOO_LARGE, "body_too_large", &message))
         }
         Ok(Err(_)) => Err(refuse(StatusCode::BAD_REQUEST, "body_broken", "the body broke off")),
@@ -201,8 +201,8 @@
     };
     let headers = HeaderMap::take_from(state);
     let bytes = read_body(state).await?;
-    let head = Head::read(&bytes).map_err(|e| bad(&e))?;
-    let (prompt_tokens, prefix) = head.prompt();
+    let head = Head::parse(&bytes).map_err(|e| bad(&e))?;
+    let (prompt_tokens, prefix) = head.estimate_prompt();
     let target = Target::Model(head.model.clone());
     let mut submission = submission(&headers, target, bytes, true)?;
     submission.prompt_tokens = prompt_tokens;
--- a/router/src/body.rs
+++ b/router/src/body.rs
@@ -10,7 +10,7 @@
 use crate::reply::Shape;
 
 /// Bytes of prompt in one block of the prefix chain.
-const BLOCK: usize = 256;
+const BLOCK_BYTES: usize = 256;
 const MAX_BLOCKS: usize = 8;
 const BYTES_PER_TOKEN: usize = 4;
 
@@ -51,7 +51,7 @@
     /// # Errors
     ///
     /// [`Error::Json`] with line and column.
-    pub fn read(body: &[u8]) -> Result<Head, Error> {
+    pub fn parse(body: &[u8]) -> Result<Head, Error> {
         Ok(serde_json::from_slice(body)?)
     }
 
@@ -66,12 +66,12 @@
     }
 
     /// Tokens in the prompt, estimated, and the hashes of its prefixes, shortest first.
-    pub fn prompt(&self) -> (u32, Vec<u64>) {
+    pub fn estimate_prompt(&self) -> (u32, Vec<u64>) {
         let text = self.text();
         let bytes = text.as_bytes();
-        let blocks = (bytes.len() / BLOCK).min(MAX_BLOCKS);
+        let blocks = (bytes.len() / BLOCK_BYTES).min(MAX_BLOCKS);
         let prefixes = (1..=blocks)
-            .map(|n| rendezvous::hash(&[self.model.as_bytes(), &bytes[..n * BLOCK]]))
+            .map(|n| rendezvous::hash(&[self.model.as_bytes(), &bytes[..n * BLOCK_BYTES]]))
             .collect();
         ((bytes.len() / BYTES_PER_TOKEN) as u32, prefixes)
     }
@@ -81,7 +81,7 @@
 ///
 /// Engines go on from a final assistant message when told so, which is how a stream that broke
 /// elsewhere is taken up without repeating a token.
-pub fn for_engine(body: &Bytes, priority: u8, partial: &str) -> (Shape, Bytes) {
+pub fn prepare_for_engine(body: &Bytes, priority: u8, partial: &str) -> (Shape, Bytes) {
     let Ok(Value::Object(mut fields)) = serde_json::from_slice::<Value>(body) else {
         return (Shape::Chat, body.clone());
     };
--- a/router/src/driver.rs
+++ b/router/src/driver.rs
@@ -30,12 +30,12 @@
 use crate::upstream;
 
 /// Events waiting for the node; producers wait when it is full.
-const INPUTS: usize = 4_096;
+const INPUT_CAPACITY: usize = 4_096;
 /// Parts waiting for one caller. A caller that reads so slowly is given up, or one slow reader
 /// would hold memory without bound.
-const PARTS: usize = 1_024;
+const PART_CAPACITY: usize = 1_024;
 /// Events taken in between two looks at the clock.
-const BATCH: usize = 64;
+const BATCH_SIZE: usize = 64;
 
 /// Part of an answer on its way to a caller.
 #[derive(Debug)]
@@ -111,7 +111,7 @@
     /// Submits a caller's request.
     pub async fn submit(&self, submission: Submission) -> Caller {
         let id = RequestId(self.next.fetch_add(1, Ordering::Relaxed));
-        let (sender, parts) = mpsc::channel(PARTS);
+        let (sender, parts) = mpsc::channel(PART_CAPACITY);
         let input = Input::Submit(id, Box::new(submission), sender);
         let _ = self.inputs.send(input).await;
         Caller { id, handle: self.clone(), parts, ended: false }
@@ -134,7 +134,7 @@
 /// The node and everything its actions need.
 pub struct Driver {
     node: Node,
-    began: Instant,
+    started: Instant,
     name: String,
     handle: Handle,
     inputs: mpsc::Receiver<Input>,
@@ -146,21 +146,21 @@
 }
 
 impl Driver {
-    /// A driver for the node that `make` builds at the driver's time zero.
+    /// A driver for the node that `build_node` builds at the driver's time zero.
     pub fn new(
         name: String,
-        make: impl FnOnce(Time) -> Node,
+        build_node: impl FnOnce(Time) -> Node,
         upstreams: upstream::Client,
         peers: peer::Client,
         kv: Option<kv::Client>,
     ) -> (Driver, Handle) {
-        let (sender, inputs) = mpsc::channel(INPUTS);
+        let (sender, inputs) = mpsc::channel(INPUT_CAPACITY);
         let handle = Handle { inputs: sender, next: Arc::new(AtomicU64::new(1)) };
         // A reserve below the first reading keeps spans before the start representable.
-        let began = Instant::now() - Duration::from_secs(1);
+        let started = Instant::now() - Duration::from_secs(1);
         let driver = Driver {
-            node: make(Time(1_000_000)),
-            began,
+            node: build_node(Time(1_000_000)),
+            started,
             name,
             handle: handle.clone(),
             inputs,
@@ -174,19 +174,19 @@
     }
 
     fn now(&self) -> Time {
-        Time(self.began.elapsed().as_micros() as u64)
+        Time(self.started.elapsed().as_micros() as u64)
     }
 
     /// Runs until the node says that everything is finished.
     pub async fn run(mut self) {
         let mut ticks = tokio::time::interval(Duration::from_micros(TICK.0));
         ticks.set_missed_tick_behavior(MissedTickBehavior::Skip);
-        let mut batch = Vec::with_capacity(BATCH);
+        let mut batch = Vec::with_capacity(BATCH_SIZE);
         loop {
             let exit = tokio::select! {
-                _ = ticks.tick() => self.feed(Event::Tick),
-                n = self.inputs.recv_many(&mut batch, BATCH) => {
-                    n == 0 || batch.drain(..).any(|input| self.take(input))
+                _ = ticks.tick() => self.handle_event(Event::Tick),
+                n = self.inputs.recv_many(&mut batch, BATCH_SIZE) => {
+                    n == 0 || batch.drain(..).any(|input| self.handle_input(input))
                 }
             };
             if exit {
@@ -195,12 +195,12 @@
         }
     }
 
-    fn take(&mut self, input: Input) -> bool {
+    fn handle_input(&mut self, input: Input) -> bool {
         match input {
-            Input::Event(event) => self.feed(event),
+            Input::Event(event) => self.handle_event(event),
             Input::Submit(id, submission, sender) => {
                 self.callers.insert(id, sender);
-                self.feed(Event::Request(id, submission))
+                self.handle_event(Event::Request(id, submission))
             }
             Input::Query(query) => {
                 let now = self.now();
@@ -211,7 +211,7 @@
     }
 
     /// Feeds one event; `true` if the process may exit.
-    fn feed(&mut self, event: Event) -> bool {
+    fn handle_event(&mut self, event: Event) -> bool {
         match &event {
             Event::Ended { attempt, .. } | Event::Failed(attempt, _) => {
                 self.attempts.remove(attempt);
@@ -233,7 +233,7 @@
         match action {
             Action::Dispatch(dispatch) => {
                 let id = dispatch.attempt;
-                let task = self.upstreams.clone().run(*dispatch, self.handle.clone());
+                let task = self.upstreams.clone().run_attempt(*dispatch, self.handle.clone());
                 self.attempts.insert(id, tokio::spawn(task).abort_handle());
             }
             Action::Cancel(id) => {
@@ -241,7 +241,7 @@
                     task.abort();
                 }
             }
-            Action::Deliver { request, text, .. } => self.deliver(request, text),
+            Action::Deliver { request, text, .. } => self.deliver_text(request, text),
             Action::Finish(id, outcome) => {
                 if let Some(caller) = self.callers.remove(&id) {
                     // If the channel is full its end is lost, and the caller reads a broken stream.
@@ -252,7 +252,7 @@
             Action::Redial(address) => self.peers.redial(&address),
             Action::Kv(call) => self.call_kv(call),
             Action::Order(order) => {
-                tokio::spawn(self.upstreams.clone().order(order, self.handle.clone()));
+                tokio::spawn(self.upstreams.clone().send_order(order, self.handle.clone()));
             }
             Action::Log(line) => log::write(&self.name, &line),
             Action::Exit => return true,
@@ -260,12 +260,12 @@
         false
     }
 
-    fn deliver(&mut self, request: RequestId, text: Bytes) {
+    fn deliver_text(&mut self, request: RequestId, text: Bytes) {
         let Some(caller) = self.callers.get(&request) else {
             return;
         };
         if caller.try_send(Part::Text(text)).is_err() {
-            self.feed(Event::CallerGone(request));
+            self.handle_event(Event::CallerGone(request));
         }
     }
 
--- a/router/src/kv.rs
+++ b/router/src/kv.rs
@@ -47,7 +47,7 @@
         let reply = match call {
             KvCall::Get { key } => self.get(key).await.map(KvReply::Value),
             KvCall::Swap { key, revision, value } => {
-                self.swap(key, *revision, value.clone()).await.map(KvReply::Swapped)
+                self.compare_and_swap(key, *revision, value.clone()).await.map(KvReply::Swapped)
             }
         };
         reply.unwrap_or(KvReply::Unavailable)
@@ -71,13 +71,13 @@
     /// # Errors
     ///
     /// The status of the call; the write may have happened.
-    pub async fn swap(
+    pub async fn compare_and_swap(
         &self,
         key: &str,
         revision: i64,
         value: Bytes,
     ) -> Result<Option<i64>, Status> {
-        self.swap_all(key, revision, vec![(key.to_owned(), value)]).await
+        self.compare_and_swap_all(key, revision, vec![(key.to_owned(), value)]).await
     }
 
     /// Writes all of `values` if the modification revision of `key` is `revision`.
@@ -85,7 +85,7 @@
     /// # Errors
     ///
     /// The status of the call; the writes may have happened.
-    pub async fn swap_all(
+    pub async fn compare_and_swap_all(
         &self,
         key: &str,
         revision: i64,
--- a/router/src/publish.rs
+++ b/router/src/publish.rs
@@ -158,7 +158,7 @@
     let mut lost = None;
     for _ in 0..TRIES {
         // Sending the same swap again is safe: it applies only to the revision read above.
-        match kv.swap_all(ROOT_KEY, revision, values.clone()).await {
+        match kv.compare_and_swap_all(ROOT_KEY, revision, values.clone()).await {
             Ok(Some(_)) => return Ok(Outcome::Accepted(new.version)),
             Ok(None) => {
                 let Ok(stored) = read_past_root(kv, new.version).await else {
--- a/router/src/sse.rs
+++ b/router/src/sse.rs
@@ -6,13 +6,13 @@
 use thiserror::Error;
 
 /// Largest event taken, in bytes.
-pub const MAX_EVENT: usize = 256 << 10;
+pub const MAX_EVENT_BYTES: usize = 256 << 10;
 
 /// A stream that is not server-sent events.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum Error {
-    /// An event is over [`MAX_EVENT`].
-    #[error("an event is over {MAX_EVENT} bytes")]
+    /// An event is over [`MAX_EVENT_BYTES`].
+    #[error("an event is over {MAX_EVENT_BYTES} bytes")]
     TooLong,
 }
 
@@ -39,7 +39,7 @@
             let found = self.buffer[self.scanned..].iter().position(|b| *b == b'\n');
             let Some(at) = found.map(|at| at + self.scanned) else {
                 self.scanned = self.buffer.len();
-                return if self.scanned > MAX_EVENT { Err(Error::TooLong) } else { Ok(None) };
+                return if self.scanned > MAX_EVENT_BYTES { Err(Error::TooLong) } else { Ok(None) };
             };
             self.scanned = 0;
             let mut line = self.buffer.split_to(at).freeze();
--- a/router/src/upstream.rs
+++ b/router/src/upstream.rs
@@ -31,14 +31,14 @@
 use crate::reply::Shape;
 use crate::sse::Decoder;
 
-const CONNECT: Duration = Duration::from_millis(500);
-const IDLE: Duration = Duration::from_secs(20);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 /// Largest answer of a plain service.
-const MAX_ANSWER: usize = 8 << 20;
+const MAX_RESPONSE_BYTES: usize = 8 << 20;
 /// Names the attempt towards an upstream, which repeats it in its answer.
-pub const REQUEST_ID: &str = "x-request-id";
+pub const REQUEST_ID_HEADER: &str = "x-request-id";
 /// An upstream that is leaving sets this header on its refusals.
-pub const LEAVING: &str = "x-leaving";
+pub const LEAVING_HEADER: &str = "x-leaving";
 
 /// Sends attempts; shares connections between them.
 #[derive(Clone, Debug)]
@@ -79,10 +79,10 @@
     /// A client whose attempts carry `identity`, unique to this run of the router.
     pub fn new(identity: String) -> Client {
         let mut connector = HttpConnector::new();
-        connector.set_connect_timeout(Some(CONNECT));
+        connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
         connector.set_nodelay(true);
         let http = legacy::Client::builder(TokioExecutor::new())
-            .pool_idle_timeout(IDLE)
+            .pool_idle_timeout(IDLE_TIMEOUT)
             // A call that may run once must not be sent again by the library on a stale connection.
             .retry_canceled_requests(false)
             .build(connector);
@@ -109,14 +109,14 @@
     ///
     /// The whole call is given up after the time that the core counts on: a new holder of the
     /// lease waits as long before it orders an upstream that ignores fencing numbers.
-    pub async fn order(self, order: Order, handle: Handle) {
+    pub async fn send_order(self, order: Order, handle: Handle) {
         let limit = Duration::from_micros(DELAY.0);
-        let result = tokio::time::timeout(limit, self.send_order(&order)).await;
+        let result = tokio::time::timeout(limit, self.post_order(&order)).await;
         let result = result.unwrap_or(OrderResult::Unknown);
         handle.send(Event::Ordered(order.upstream, result)).await;
     }
 
-    async fn send_order(&self, order: &Order) -> OrderResult {
+    async fn post_order(&self, order: &Order) -> OrderResult {
         let body = json!({ "fence": order.fence, "deployment": order.deployment });
         let request = Request::post(format!("http://{}/orders", order.address))
             .header(header::CONTENT_TYPE, "application/json")
@@ -132,12 +132,12 @@
     }
 
     /// Runs one attempt and tells the node what came of it.
-    pub async fn run(self, dispatch: Dispatch, handle: Handle) {
+    pub async fn run_attempt(self, dispatch: Dispatch, handle: Handle) {
         let attempt = dispatch.attempt;
         let end = match self.call(&dispatch).await {
             Ok(response) => match &dispatch.target {
-                Target::Model(_) => self.stream(&dispatch, response, &handle).await,
-                Target::Service { .. } => self.whole(&dispatch, response, &handle).await,
+                Target::Model(_) => self.read_stream(&dispatch, response, &handle).await,
+                Target::Service { .. } => self.read_response(&dispatch, response, &handle).await,
             },
             Err(failure) => End::Failed(failure),
         };
@@ -148,12 +148,12 @@
         handle.send(event).await;
     }
 
-    fn label(&self, attempt: AttemptId) -> String {
+    fn format_id(&self, attempt: AttemptId) -> String {
         format!("{}-{attempt}", self.identity)
     }
 
     /// The attempt that an upstream's id names; of another router's, none has number 0.
-    fn echo(&self, id: &str) -> AttemptId {
+    fn parse_id(&self, id: &str) -> AttemptId {
         let number = id.rsplit_once(&self.identity).and_then(|(_, n)| n.strip_prefix('-'));
         AttemptId(number.and_then(|n| n.parse().ok()).unwrap_or(0))
     }
@@ -162,7 +162,8 @@
         let (method, path, body) = match &dispatch.target {
             Target::Model(_) => {
                 let partial = String::from_utf8_lossy(&dispatch.partial);
-                let (shape, body) = body::for_engine(&dispatch.body, dispatch.priority, &partial);
+                let (shape, body) =
+                    body::prepare_for_engine(&dispatch.body, dispatch.priority, &partial);
                 let path = match shape {
                     Shape::Chat => "/v1/chat/completions",
                     Shape::Text => "/v1/completions",
@@ -178,14 +179,14 @@
             .method(method)
             .uri(format!("http://{}{path}", dispatch.address))
             .header(header::CONTENT_TYPE, "application/json")
-            .header(REQUEST_ID, self.label(dispatch.attempt))
+            .header(REQUEST_ID_HEADER, self.format_id(dispatch.attempt))
             .body(Full::new(body))
             .map_err(|_| Failure::Connect)?;
         let response = self.http.request(request).await;
         let response = response
             .map_err(|e| if e.is_connect() { Failure::Connect } else { Failure::Broken })?;
         match response.status() {
-            _ if response.headers().contains_key(LEAVING) => Err(Failure::Leaving),
+            _ if response.headers().contains_key(LEAVING_HEADER) => Err(Failure::Leaving),
             StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
                 Err(Failure::Refused)
             }
@@ -194,10 +195,15 @@
     }
 
     /// Reads an engine's stream; it is whole only with `[DONE]`.
-    async fn stream(&self, d: &Dispatch, mut response: Response<Incoming>, to: &Handle) -> End {
+    async fn read_stream(
+        &self,
+        d: &Dispatch,
+        mut response: Response<Incoming>,
+        handle: &Handle,
+    ) -> End {
         let attempt = d.attempt;
         if response.status() != StatusCode::OK {
-            return self.whole(d, response, to).await;
+            return self.read_response(d, response, handle).await;
         }
         let mut decoder = Decoder::default();
         let mut offset = d.offset;
@@ -221,7 +227,7 @@
                 let Ok(chunk) = serde_json::from_slice::<Chunk>(&event) else {
                     return End::Failed(Failure::Broken);
                 };
-                let echo = chunk.id.map_or(AttemptId(0), |id| self.echo(&id));
+                let echo = chunk.id.map_or(AttemptId(0), |id| self.parse_id(&id));
                 let text = chunk.choices.into_iter().next();
                 let text = text.and_then(|c| c.delta.content.or(c.text)).unwrap_or_default();
                 if echo == attempt && text.is_empty() {
@@ -229,28 +235,33 @@
                 }
                 let frame = Event::Frame { attempt, echo, offset, tokens: 1, text: text.into() };
                 offset = offset.saturating_add(1);
-                to.send(frame).await;
+                handle.send(frame).await;
             }
         }
         End::Failed(Failure::Broken)
     }
 
     /// Reads an answer whole.
-    async fn whole(&self, d: &Dispatch, response: Response<Incoming>, to: &Handle) -> End {
+    async fn read_response(
+        &self,
+        d: &Dispatch,
+        response: Response<Incoming>,
+        handle: &Handle,
+    ) -> End {
         let attempt = d.attempt;
         let status = response.status().as_u16();
-        let id = response.headers().get(REQUEST_ID).and_then(|v| v.to_str().ok());
-        let echo = id.map_or(attempt, |id| self.echo(id));
+        let id = response.headers().get(REQUEST_ID_HEADER).and_then(|v| v.to_str().ok());
+        let echo = id.map_or(attempt, |id| self.parse_id(id));
         let Ok(text) = collect(response).await else {
             return End::Failed(Failure::Broken);
         };
         let offset = d.offset;
-        to.send(Event::Frame { attempt, echo, offset, tokens: 0, text }).await;
+        handle.send(Event::Frame { attempt, echo, offset, tokens: 0, text }).await;
         End::Whole(echo, status)
     }
 }
 
 async fn collect(response: Response<Incoming>) -> Result<Bytes, Failure> {
-    let body = Limited::new(response.into_body(), MAX_ANSWER).collect().await;
+    let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES).collect().await;
     body.map(|b| b.to_bytes()).map_err(|_| Failure::Broken)
 }
--- a/router/tests/flags.rs
+++ b/router/tests/flags.rs
@@ -83,9 +83,9 @@
         let mut decoder = Decoder::default();
         decoder.push(&bytes);
         while let Ok(Some(_)) = decoder.pop() {}
-        if let Ok(head) = laburnumwheel_router::body::Head::read(&bytes) {
-            head.prompt();
+        if let Ok(head) = laburnumwheel_router::body::Head::parse(&bytes) {
+            head.estimate_prompt();
         }
-        laburnumwheel_router::body::for_engine(&bytes.into(), 3, "partial");
+        laburnumwheel_router::body::prepare_for_engine(&bytes.into(), 3, "partial");
     }
 }
