--- a/ctl/src/cmd/demo.rs
+++ b/ctl/src/cmd/demo.rs
@@ -16,7 +16,7 @@
 use laburnumwheel_router::settings::Level;
 use laburnumwheel_standin::engine::Engine;
 use laburnumwheel_standin::kv::Service as KeyValue;
-use laburnumwheel_standin::service::Ledger;
+use laburnumwheel_standin::service::Counter;
 use laburnumwheel_standin::service::Service;
 use rand::Rng;
 use rand::SeedableRng;
@@ -62,7 +62,7 @@
         let site = Site::start().await?;
         println!("1 key-value service, 3 engines, 2 service replicas, 3 routers on loopback");
         let tallies = site.traffic(seconds, rate).await?;
-        let doubled = site.ledger.runs().values().filter(|n| **n > 1).count();
+        let doubled = site.counter.runs().values().filter(|n| **n > 1).count();
         site.report(&tallies, doubled).await?;
         site.stop().await
     })
@@ -73,7 +73,7 @@
     _kv: KeyValue,
     _engines: Vec<Engine>,
     _services: Vec<Service>,
-    ledger: Ledger,
+    counter: Counter,
     routers: Vec<Router>,
 }
 
@@ -105,7 +105,7 @@
 impl Site {
     async fn start() -> Result<Site, Error> {
         let key_value = KeyValue::start(0).await?;
-        let ledger = Ledger::default();
+        let counter = Counter::default();
         let mut engines = Vec::new();
         let mut services = Vec::new();
         let mut overlay = String::new();
@@ -115,7 +115,7 @@
             engines.push(engine);
         }
         for domain in &DOMAINS[..2] {
-            let service = Service::start(0, WORK, ledger.clone()).await?;
+            let service = Service::start(0, WORK, counter.clone()).await?;
             overlay += &upstream("bidding", domain, &service.address.to_string());
             services.push(service);
         }
@@ -145,7 +145,8 @@
                 .build()?;
             routers.push(Router::start(settings).await?);
         }
-        let site = Site { _kv: key_value, _engines: engines, _services: services, ledger, routers };
+        let site =
+            Site { _kv: key_value, _engines: engines, _services: services, counter, routers };
         site.ready().await?;
         Ok(site)
     }
--- a/router/tests/path.rs
+++ b/router/tests/path.rs
@@ -38,7 +38,7 @@
 /// stream up at another engine from its offset.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_survives_each_way_an_engine_fails() {
-    for fault in [Fault::Crash, Fault::Silent, Fault::WrongId, Fault::Garbage, Fault::Cut] {
+    for fault in [Fault::Crash, Fault::Silent, Fault::WrongId, Fault::Malformed, Fault::Truncated] {
         // Arrange
         let site = Site::start(2, 0, Duration::ZERO).await;
         let routers = site.routers(1).await;
@@ -65,7 +65,7 @@
     // Arrange
     let site = Site::start(1, 0, Duration::ZERO).await;
     let routers = site.routers(1).await;
-    site.engines[0].set_fault(Fault::Cut);
+    site.engines[0].set_fault(Fault::Truncated);
 
     // Act
     let answer = support::chat(routers[0].callers, 200, true).await.expect("an answer");
--- a/router/tests/rolling.rs
+++ b/router/tests/rolling.rs
@@ -53,7 +53,7 @@
     let seen = (read(&counts.cut), read(&counts.wrong), read(&counts.refused));
     assert_eq!(seen, (0, 0, 0), "of {} whole", read(&counts.whole));
     assert!(read(&counts.whole) > 100);
-    assert!(site.ledger.runs().values().all(|n| *n == 1));
+    assert!(site.counter.runs().values().all(|n| *n == 1));
     assert_eq!(site.engines[0].running(), 0);
 }
 
--- a/router/tests/support/mod.rs
+++ b/router/tests/support/mod.rs
@@ -24,7 +24,7 @@
 use laburnumwheel_router::publish;
 use laburnumwheel_standin::engine::Engine;
 use laburnumwheel_standin::kv::Service as KeyValue;
-use laburnumwheel_standin::service::Ledger;
+use laburnumwheel_standin::service::Counter;
 use laburnumwheel_standin::service::Service;
 use serde_json::Value;
 use serde_json::json;
@@ -92,7 +92,7 @@
     pub key_value: KeyValue,
     pub engines: Vec<Engine>,
     pub services: Vec<Service>,
-    pub ledger: Ledger,
+    pub counter: Counter,
     pub config: Config,
 }
 
@@ -120,12 +120,12 @@
 impl Site {
     pub async fn start(engines: usize, services: usize, work: Duration) -> Site {
         let key_value = KeyValue::start(0).await.expect("a port");
-        let ledger = Ledger::default();
+        let counter = Counter::default();
         let mut site = Site {
             key_value,
             engines: Vec::new(),
             services: Vec::new(),
-            ledger,
+            counter,
             config: Config::default(),
         };
         let mut text = BASE.to_owned();
@@ -135,7 +135,7 @@
             site.engines.push(engine);
         }
         for i in 0..services {
-            let service = Service::start(0, work, site.ledger.clone()).await.expect("a port");
+            let service = Service::start(0, work, site.counter.clone()).await.expect("a port");
             text += &upstream(&format!("s{i}"), "bids", service.address);
             site.services.push(service);
         }
--- a/standin/src/engine.rs
+++ b/standin/src/engine.rs
@@ -33,9 +33,9 @@
 use crate::http;
 use crate::http::Body;
 
-const DEFAULT_TOKENS: u32 = 16;
+const DEFAULT_MAX_TOKENS: u32 = 16;
 /// A faulty engine misbehaves at this token of each answer.
-const FAULT_AT: u32 = 3;
+const FAULT_TOKEN: u32 = 3;
 
 /// How an engine misbehaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -50,14 +50,14 @@
     /// Sends another request's id.
     WrongId = 3,
     /// Sends what is no JSON.
-    Garbage = 4,
+    Malformed = 4,
     /// Ends the stream early without `[DONE]`.
-    Cut = 5,
+    Truncated = 5,
 }
 
 impl Fault {
     fn from_number(n: u32) -> Fault {
-        let all = [Fault::Crash, Fault::Silent, Fault::WrongId, Fault::Garbage, Fault::Cut];
+        let all = [Fault::Crash, Fault::Silent, Fault::WrongId, Fault::Malformed, Fault::Truncated];
         all.into_iter().find(|f| *f as u32 == n).unwrap_or(Fault::None)
     }
 }
@@ -162,7 +162,7 @@
     }
     if request.uri().path() == "/orders" {
         let body = request.into_body().collect().await.map_err(io::Error::other)?.to_bytes();
-        return Ok(take_order(&state, &body));
+        return Ok(execute_order(&state, &body));
     }
     if state.leaving.load(Ordering::Relaxed) {
         let mut response = Response::new(full("leaving"));
@@ -174,19 +174,19 @@
     let id = id.unwrap_or("none").to_owned();
     let body = request.into_body().collect().await.map_err(io::Error::other)?.to_bytes();
     let body: Value = serde_json::from_slice(&body).unwrap_or(Value::Null);
-    let wanted = body["max_tokens"].as_u64().map_or(DEFAULT_TOKENS, |n| n as u32);
+    let wanted = body["max_tokens"].as_u64().map_or(DEFAULT_MAX_TOKENS, |n| n as u32);
     let chat = body.get("messages").is_some();
     let answer = Answer {
-        place: Place::wait(&state).await,
+        slot: BatchSlot::wait(&state).await,
         fault: Fault::from_number(state.fault.load(Ordering::Relaxed)),
         state,
         id,
         chat,
-        next: already(&body),
+        next: count_partial_tokens(&body),
         wanted,
         sent: 0,
     };
-    let frames = stream::unfold(Some(answer), |answer| async move { answer?.step().await });
+    let frames = stream::unfold(Some(answer), |answer| async move { answer?.next_frame().await });
     let mut response = Response::new(StreamBody::new(frames).boxed());
     let kind = hyper::header::HeaderValue::from_static("text/event-stream");
     response.headers_mut().insert(hyper::header::CONTENT_TYPE, kind);
@@ -194,7 +194,7 @@
 }
 
 /// Carries an order out, unless its fencing number is lower than one seen before.
-fn take_order(state: &State, body: &[u8]) -> Response<Body> {
+fn execute_order(state: &State, body: &[u8]) -> Response<Body> {
     let body: Value = serde_json::from_slice(body).unwrap_or_default();
     let fence = body["fence"].as_i64().unwrap_or(0);
     let deployment = serde_json::from_value(body["deployment"].clone());
@@ -213,14 +213,14 @@
 }
 
 /// Tokens that the request's final assistant message already has.
-fn already(body: &Value) -> u32 {
+fn count_partial_tokens(body: &Value) -> u32 {
     let last = body["messages"].as_array().and_then(|m| m.last());
     let partial = last.filter(|m| m["role"] == "assistant").and_then(|m| m["content"].as_str());
     partial.map_or(0, |text| text.split_whitespace().count() as u32)
 }
 
-/// A place in the batch, counted while it is held.
-struct Place {
+/// A slot in the batch, counted while it is held.
+struct BatchSlot {
     state: Arc<State>,
     _permit: Option<OwnedSemaphorePermit>,
 }
@@ -234,25 +234,25 @@
     }
 }
 
-impl Place {
-    async fn wait(state: &Arc<State>) -> Place {
+impl BatchSlot {
+    async fn wait(state: &Arc<State>) -> BatchSlot {
         state.waiting.fetch_add(1, Ordering::Relaxed);
         let waiting = Waiting(&state.waiting);
         let permit = state.batch.clone().acquire_owned().await.ok();
         drop(waiting);
         state.running.fetch_add(1, Ordering::Relaxed);
-        Place { state: state.clone(), _permit: permit }
+        BatchSlot { state: state.clone(), _permit: permit }
     }
 }
 
-impl Drop for Place {
+impl Drop for BatchSlot {
     fn drop(&mut self) {
         self.state.running.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
 struct Answer {
-    place: Place,
+    slot: BatchSlot,
     state: Arc<State>,
     fault: Fault,
     id: String,
@@ -262,10 +262,10 @@
     sent: u32,
 }
 
-type Step = Option<(io::Result<Frame<Bytes>>, Option<Answer>)>;
+type NextFrame = Option<(io::Result<Frame<Bytes>>, Option<Answer>)>;
 
 impl Answer {
-    async fn step(mut self) -> Step {
+    async fn next_frame(mut self) -> NextFrame {
         if !self.state.step.is_zero() {
             tokio::time::sleep(self.state.step).await;
         }
@@ -274,20 +274,20 @@
             return Some((Ok(Frame::data(done)), None));
         }
         let mut id = self.id.clone();
-        if self.sent >= FAULT_AT {
+        if self.sent >= FAULT_TOKEN {
             match self.fault {
                 Fault::None => {}
                 Fault::Crash => return Some((Err(io::Error::other("crash")), None)),
                 Fault::Silent => {
-                    let _held = &self.place;
+                    let _held = &self.slot;
                     std::future::pending::<()>().await;
                 }
                 Fault::WrongId => id = "somebody-else-7".to_owned(),
-                Fault::Garbage => {
+                Fault::Malformed => {
                     let garbage = Bytes::from_static(b"data: {{{\n\n");
                     return Some((Ok(Frame::data(garbage)), None));
                 }
-                Fault::Cut => return None,
+                Fault::Truncated => return None,
             }
         }
         let text = format!("{} ", self.next);
--- a/standin/src/kv.rs
+++ b/standin/src/kv.rs
@@ -28,7 +28,7 @@
 use tonic::transport::Server;
 
 /// Largest value, as at the platform.
-const MAX_VALUE: usize = 1 << 20;
+const MAX_VALUE_BYTES: usize = 1 << 20;
 
 /// How the service misbehaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -134,7 +134,7 @@
         etcd::PutResponse { header: self.header(), prev_kv: None }
     }
 
-    fn holds(&self, c: &etcd::Compare) -> bool {
+    fn matches(&self, c: &etcd::Compare) -> bool {
         let mod_revision = self.values.get(&c.key).map_or(0, |v| v.mod_revision);
         match (c.result(), c.target(), &c.target_union) {
             (CompareResult::Equal, CompareTarget::Mod, Some(TargetUnion::ModRevision(want))) => {
@@ -144,7 +144,7 @@
         }
     }
 
-    fn op(&mut self, op: &etcd::RequestOp) -> etcd::ResponseOp {
+    fn execute(&mut self, op: &etcd::RequestOp) -> etcd::ResponseOp {
         let response = op.request.as_ref().map(|r| match r {
             Op::RequestRange(r) => Reply::ResponseRange(self.range(r)),
             Op::RequestPut(r) => Reply::ResponsePut(self.put(r)),
@@ -154,7 +154,7 @@
 }
 
 impl Api {
-    fn enter(&self) -> Result<MutexGuard<'_, Store>, Status> {
+    fn lock_store(&self) -> Result<MutexGuard<'_, Store>, Status> {
         if self.state.mode.load(Ordering::Relaxed) == Mode::Down as u32 {
             return Err(Status::unavailable("outage"));
         }
@@ -162,7 +162,7 @@
     }
 
     /// The reply to a write, unless replies are being lost.
-    fn leave<T>(&self, reply: T) -> Result<Response<T>, Status> {
+    fn finish_write<T>(&self, reply: T) -> Result<Response<T>, Status> {
         self.state.writes.fetch_add(1, Ordering::Relaxed);
         if self.state.mode.load(Ordering::Relaxed) == Mode::LoseReplies as u32 {
             return Err(Status::unavailable("reply lost"));
@@ -177,7 +177,7 @@
         &self,
         request: Request<etcd::RangeRequest>,
     ) -> Result<Response<etcd::RangeResponse>, Status> {
-        let reply = self.enter()?.range(request.get_ref());
+        let reply = self.lock_store()?.range(request.get_ref());
         self.state.reads.fetch_add(1, Ordering::Relaxed);
         Ok(Response::new(reply))
     }
@@ -186,11 +186,11 @@
         &self,
         request: Request<etcd::PutRequest>,
     ) -> Result<Response<etcd::PutResponse>, Status> {
-        if request.get_ref().value.len() > MAX_VALUE {
+        if request.get_ref().value.len() > MAX_VALUE_BYTES {
             return Err(Status::invalid_argument("value too large"));
         }
-        let reply = self.enter()?.put(request.get_ref());
-        self.leave(reply)
+        let reply = self.lock_store()?.put(request.get_ref());
+        self.finish_write(reply)
     }
 
     async fn txn(
@@ -199,12 +199,12 @@
     ) -> Result<Response<etcd::TxnResponse>, Status> {
         let txn = request.into_inner();
         let reply = {
-            let mut store = self.enter()?;
-            let succeeded = txn.compare.iter().all(|c| store.holds(c));
+            let mut store = self.lock_store()?;
+            let succeeded = txn.compare.iter().all(|c| store.matches(c));
             let ops = if succeeded { &txn.success } else { &txn.failure };
-            let responses = ops.iter().map(|op| store.op(op)).collect();
+            let responses = ops.iter().map(|op| store.execute(op)).collect();
             etcd::TxnResponse { header: store.header(), succeeded, responses }
         };
-        self.leave(reply)
+        self.finish_write(reply)
     }
 }
--- a/standin/src/service.rs
+++ b/standin/src/service.rs
@@ -24,17 +24,17 @@
 
 /// Shared by every replica of a service, as a database would be.
 #[derive(Clone, Debug, Default)]
-pub struct Ledger {
+pub struct Counter {
     runs: Runs,
 }
 
-impl Ledger {
+impl Counter {
     /// How often each body ran.
     pub fn runs(&self) -> BTreeMap<Bytes, u32> {
         self.runs.lock().map(|r| r.clone()).unwrap_or_default()
     }
 
-    fn run(&self, body: Bytes) -> u32 {
+    fn record_run(&self, body: Bytes) -> u32 {
         let Ok(mut runs) = self.runs.lock() else {
             return 0;
         };
@@ -54,14 +54,14 @@
 impl Service {
     /// Starts a replica on a port of the loopback address (0: a free one).
     ///
-    /// A call takes `work`, then is entered in `ledger`.
+    /// A call takes `work`, then is entered in `counter`.
     ///
     /// # Errors
     ///
     /// If the port can't be bound.
-    pub async fn start(port: u16, work: Duration, ledger: Ledger) -> io::Result<Service> {
+    pub async fn start(port: u16, work: Duration, counter: Counter) -> io::Result<Service> {
         let (listener, address) = http::listen(port).await?;
-        let handle = move |request| handle(ledger.clone(), work, request);
+        let handle = move |request| handle(counter.clone(), work, request);
         let task = tokio::spawn(http::serve(listener, handle));
         Ok(Service { address, task })
     }
@@ -74,7 +74,7 @@
 }
 
 async fn handle(
-    ledger: Ledger,
+    counter: Counter,
     work: Duration,
     request: Request<Incoming>,
 ) -> io::Result<Response<Body>> {
@@ -85,7 +85,7 @@
     }
     let id = request.headers().get("x-request-id").cloned();
     let body = request.into_body().collect().await.map_err(io::Error::other)?.to_bytes();
-    let ran = ledger.run(body);
+    let ran = counter.record_run(body);
     tokio::time::sleep(work).await;
     let mut response = Response::new(full(json!({ "ran": ran }).to_string()));
     let id = id.unwrap_or(HeaderValue::from_static("none"));
