--- a/router/src/api.rs
+++ b/router/src/api.rs
@@ -40,12 +40,12 @@
 pub const MAX_BODY_BYTES: usize = 1 << 20;
 /// A sender of a body may take this long.
 const BODY_TIMEOUT: Duration = Duration::from_secs(15);
-const CLASS: &str = "x-class";
-const IDEMPOTENT: &str = "x-idempotent";
-const KEY: &str = "idempotency-key";
-const DOMAIN: &str = "failure_domain=";
-const MODEL: &str = "model=";
-const SERVICES: &str = "/v1/services/";
+const CLASS_HEADER: &str = "x-class";
+const IDEMPOTENT_HEADER: &str = "x-idempotent";
+const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
+const DOMAIN_PARAMETER: &str = "failure_domain=";
+const MODEL_PARAMETER: &str = "model=";
+const SERVICES_PREFIX: &str = "/v1/services/";
 
 /// What handlers share.
 #[derive(Clone)]
@@ -64,7 +64,7 @@
         route.get("/v1/entry").to_async(entry);
         route.get("/v1/models").to_async(models);
         route.post("/v1/chat/completions").to_async(chat);
-        route.post("/v1/completions").to_async(text);
+        route.post("/v1/completions").to_async(completions);
         route.get("/v1/services/:service").to_async(service);
         route.post("/v1/services/:service").to_async(service);
         route.get("/v1/services/:service/*").to_async(service);
@@ -73,9 +73,9 @@
 }
 
 /// A response that ends a handler early.
-type Refused = Box<Response<Body>>;
+type ErrorResponse = Box<Response<Body>>;
 
-fn refused(status: StatusCode, error: &Error) -> Refused {
+fn error_response(status: StatusCode, error: &Error) -> ErrorResponse {
     Box::new(reply::error(status, error))
 }
 
@@ -87,7 +87,7 @@
     headers.get(name).and_then(|v| v.to_str().ok())
 }
 
-fn bearer(headers: &HeaderMap) -> String {
+fn bearer_token(headers: &HeaderMap) -> String {
     let value = header(headers, "authorization").unwrap_or("");
     value.strip_prefix("Bearer ").unwrap_or("").to_owned()
 }
@@ -98,7 +98,7 @@
         let pairs = uri.query().unwrap_or("").split('&');
         pairs.filter_map(|p| p.strip_prefix(name)).next().map(str::to_owned)
     };
-    let (domain, model) = (parameter(DOMAIN), parameter(MODEL));
+    let (domain, model) = (parameter(DOMAIN_PARAMETER), parameter(MODEL_PARAMETER));
     let handle = shared(&state).handle;
     let answer =
         handle.query(move |node, now| node.entry(now, domain.as_deref(), model.as_deref())).await;
@@ -115,16 +115,16 @@
 
 async fn models(state: State) -> HandlerResult {
     let handle = shared(&state).handle;
-    let ask = handle.query(|node, _| {
+    let query = handle.query(|node, _| {
         let names = node.index().models();
         names.map(|id| json!({ "id": id, "object": "model" })).collect::<Vec<_>>()
     });
-    let list = ask.await.unwrap_or_default();
+    let list = query.await.unwrap_or_default();
     let response = reply::json(StatusCode::OK, &json!({ "object": "list", "data": list }));
     Ok((state, response))
 }
 
-async fn read_body(state: &mut State) -> Result<Bytes, Refused> {
+async fn read_body(state: &mut State) -> Result<Bytes, ErrorResponse> {
     let body = Limited::new(Body::take_from(state), MAX_BODY_BYTES);
     let refuse = |status, code, message: &str| {
         let mut response = reply::error(status, &Error::bad_request(code, message));
@@ -147,55 +147,55 @@
     }
 }
 
-fn flag(headers: &HeaderMap, default: bool) -> Result<bool, Refused> {
-    match header(headers, IDEMPOTENT) {
+fn parse_idempotent(headers: &HeaderMap, default: bool) -> Result<bool, ErrorResponse> {
+    match header(headers, IDEMPOTENT_HEADER) {
         None => Ok(default),
         Some("true") => Ok(true),
         Some("false") => Ok(false),
         Some(other) => {
-            let message = format!("{IDEMPOTENT} is `{other}`, not true or false");
+            let message = format!("{IDEMPOTENT_HEADER} is `{other}`, not true or false");
             let error = Error::bad_request("bad_header", message);
-            Err(refused(StatusCode::BAD_REQUEST, &error))
+            Err(error_response(StatusCode::BAD_REQUEST, &error))
         }
     }
 }
 
-fn submission(
+fn build_submission(
     headers: &HeaderMap,
     target: Target,
     body: Bytes,
     idempotent: bool,
-) -> Result<Submission, Refused> {
+) -> Result<Submission, ErrorResponse> {
     Ok(Submission {
-        key: bearer(headers),
-        class: header(headers, CLASS).map(str::to_owned),
+        key: bearer_token(headers),
+        class: header(headers, CLASS_HEADER).map(str::to_owned),
         target,
         body,
         prompt_tokens: 0,
         max_tokens: 0,
         prefix: Vec::new(),
         stream: false,
-        idempotent: flag(headers, idempotent)?,
-        idempotency_key: header(headers, KEY).map(str::to_owned),
+        idempotent: parse_idempotent(headers, idempotent)?,
+        idempotency_key: header(headers, IDEMPOTENCY_KEY_HEADER).map(str::to_owned),
     })
 }
 
 async fn chat(mut state: State) -> HandlerResult {
-    let response = complete(&mut state, Shape::Chat).await.unwrap_or_else(|refused| *refused);
+    let response = complete(&mut state, Shape::Chat).await.unwrap_or_else(|response| *response);
     Ok((state, response))
 }
 
-async fn text(mut state: State) -> HandlerResult {
-    let response = complete(&mut state, Shape::Text).await.unwrap_or_else(|refused| *refused);
+async fn completions(mut state: State) -> HandlerResult {
+    let response = complete(&mut state, Shape::Text).await.unwrap_or_else(|response| *response);
     Ok((state, response))
 }
 
 async fn service(mut state: State) -> HandlerResult {
-    let response = call_service(&mut state).await.unwrap_or_else(|refused| *refused);
+    let response = call_service(&mut state).await.unwrap_or_else(|response| *response);
     Ok((state, response))
 }
 
-async fn complete(state: &mut State, shape: Shape) -> Result<Response<Body>, Refused> {
+async fn complete(state: &mut State, shape: Shape) -> Result<Response<Body>, ErrorResponse> {
     let bad = |e: &dyn std::fmt::Display| {
         reply::error(StatusCode::BAD_REQUEST, &Error::bad_request("bad_body", e.to_string()))
     };
@@ -204,7 +204,7 @@
     let head = Head::parse(&bytes).map_err(|e| bad(&e))?;
     let (prompt_tokens, prefix) = head.estimate_prompt();
     let target = Target::Model(head.model.clone());
-    let mut submission = submission(&headers, target, bytes, true)?;
+    let mut submission = build_submission(&headers, target, bytes, true)?;
     submission.prompt_tokens = prompt_tokens;
     submission.prefix = prefix;
     submission.stream = head.stream;
@@ -215,12 +215,13 @@
     let id = format!("chatcmpl-{}-{}", shared.identity, caller.id());
     match caller.next().await {
         Some(Part::End(Outcome::Refused(r))) => {
-            Err(refused(reply::status(&r), &Error::from_refusal(&r)))
+            Err(error_response(reply::status(&r), &Error::from_refusal(&r)))
         }
         Some(Part::End(Outcome::Whole { status: 200, text, tokens })) => {
             let text = String::from_utf8_lossy(&text);
             if head.stream {
-                let first = reply::chunk(shape, &quoted(&id), &quoted(&head.model), &text);
+                let first =
+                    reply::chunk(shape, &to_json_string(&id), &to_json_string(&head.model), &text);
                 let whole = [first, reply::end_event()].concat();
                 return Ok(reply::event_stream(reply::full(whole)));
             }
@@ -228,26 +229,31 @@
         }
         Some(Part::End(Outcome::Whole { status, text, .. })) => Ok(reply::forward(status, text)),
         Some(Part::Text(first)) => {
-            let stream = Stream { caller, shape, id: quoted(&id), model: quoted(&head.model) };
+            let stream = Stream {
+                caller,
+                shape,
+                id: to_json_string(&id),
+                model: to_json_string(&head.model),
+            };
             Ok(reply::event_stream(stream.body(first)))
         }
-        None => Err(lost()),
+        None => Err(lost_response()),
     }
 }
 
 /// The driver is gone, or gave this caller up.
-fn lost() -> Refused {
+fn lost_response() -> ErrorResponse {
     let mut error = Error::incomplete("the router stopped before the answer was whole");
     error.verdict = "outcome_unknown".to_owned();
-    refused(StatusCode::BAD_GATEWAY, &error)
+    error_response(StatusCode::BAD_GATEWAY, &error)
 }
 
-async fn call_service(state: &mut State) -> Result<Response<Body>, Refused> {
+async fn call_service(state: &mut State) -> Result<Response<Body>, ErrorResponse> {
     let headers = HeaderMap::take_from(state);
     let method = Method::take_from(state);
     let uri = Uri::take_from(state);
     let bytes = read_body(state).await?;
-    let rest = uri.path().strip_prefix(SERVICES).unwrap_or("");
+    let rest = uri.path().strip_prefix(SERVICES_PREFIX).unwrap_or("");
     let (name, path) = rest.split_once('/').unwrap_or((rest, ""));
     let query = uri.query().map(|q| format!("?{q}")).unwrap_or_default();
     let idempotent = method == Method::GET;
@@ -256,18 +262,18 @@
         method: method.to_string(),
         path: format!("/{path}{query}"),
     };
-    let submission = submission(&headers, target, bytes, idempotent)?;
+    let submission = build_submission(&headers, target, bytes, idempotent)?;
     let mut caller = shared(state).handle.submit(submission).await;
     match caller.next().await {
         Some(Part::End(Outcome::Whole { status, text, .. })) => Ok(reply::forward(status, text)),
         Some(Part::End(Outcome::Refused(r))) => {
-            Err(refused(reply::status(&r), &Error::from_refusal(&r)))
+            Err(error_response(reply::status(&r), &Error::from_refusal(&r)))
         }
-        Some(Part::Text(_)) | None => Err(lost()),
+        Some(Part::Text(_)) | None => Err(lost_response()),
     }
 }
 
-fn quoted(text: &str) -> String {
+fn to_json_string(text: &str) -> String {
     serde_json::to_string(text).unwrap_or_default()
 }
 
--- a/router/src/peer.rs
+++ b/router/src/peer.rs
@@ -27,18 +27,18 @@
 
 /// Longest time for one message. Messages are repeated by the core where that matters.
 const TIMEOUT: Duration = Duration::from_secs(2);
-const CONNECT: Duration = Duration::from_millis(500);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// Messages under way to one peer; more are dropped, since a peer that is so slow is no use.
-const IN_FLIGHT: usize = 256;
-const MAX_MESSAGE: usize = 4 << 20;
-const SECRET: &str = "x-peer-secret";
+const MAX_IN_FLIGHT: usize = 256;
+const MAX_MESSAGE_BYTES: usize = 4 << 20;
+const SECRET_HEADER: &str = "x-peer-secret";
 
 /// What peers prove to each other: a hash of the shared secret, in hexadecimal.
-fn proof(secret: &str) -> String {
+fn hash_secret(secret: &str) -> String {
     laburnumwheel_core::config::hash_key(&format!("peer:{secret}"))
 }
 
-struct Link {
+struct Connection {
     client: PeerClient<Channel>,
     slots: Arc<Semaphore>,
 }
@@ -47,26 +47,26 @@
 pub struct Client {
     name: String,
     incarnation: u64,
-    proof: String,
-    links: BTreeMap<String, Link>,
+    secret_hash: String,
+    connections: BTreeMap<String, Connection>,
 }
 
 impl Client {
     /// A client that signs its messages with the router's name and incarnation.
     pub fn new(name: &str, incarnation: u64, secret: &str) -> Client {
         let name = name.to_owned();
-        Client { name, incarnation, proof: proof(secret), links: BTreeMap::new() }
+        Client { name, incarnation, secret_hash: hash_secret(secret), connections: BTreeMap::new() }
     }
 
-    fn link(&mut self, address: &str) -> Option<&Link> {
-        if !self.links.contains_key(address) {
+    fn connection(&mut self, address: &str) -> Option<&Connection> {
+        if !self.connections.contains_key(address) {
             let endpoint = Endpoint::from_shared(format!("http://{address}")).ok()?;
-            let channel = endpoint.connect_timeout(CONNECT).timeout(TIMEOUT).connect_lazy();
-            let client = PeerClient::new(channel).max_decoding_message_size(MAX_MESSAGE);
-            let link = Link { client, slots: Arc::new(Semaphore::new(IN_FLIGHT)) };
-            self.links.insert(address.to_owned(), link);
+            let channel = endpoint.connect_timeout(CONNECT_TIMEOUT).timeout(TIMEOUT).connect_lazy();
+            let client = PeerClient::new(channel).max_decoding_message_size(MAX_MESSAGE_BYTES);
+            let connection = Connection { client, slots: Arc::new(Semaphore::new(MAX_IN_FLIGHT)) };
+            self.connections.insert(address.to_owned(), connection);
         }
-        self.links.get(address)
+        self.connections.get(address)
     }
 
     /// Sends a message without waiting for it.
@@ -80,19 +80,21 @@
             incarnation: self.incarnation,
             payload,
         };
-        let Ok(proof) = MetadataValue::try_from(self.proof.as_str()) else {
+        let Ok(secret_hash) = MetadataValue::try_from(self.secret_hash.as_str()) else {
             return;
         };
-        let Some(link) = self.link(address) else {
+        let Some(connection) = self.connection(address) else {
             return;
         };
-        let Ok(permit) = link.slots.clone().try_acquire_owned() else {
+        let Ok(permit) = connection.slots.clone().try_acquire_owned() else {
             return;
         };
-        let mut client = link.client.clone();
+        let mut client = connection.client.clone();
         tokio::spawn(async move {
             let mut request = Request::new(envelope);
-            request.metadata_mut().insert(AsciiMetadataKey::from_static(SECRET), proof);
+            request
+                .metadata_mut()
+                .insert(AsciiMetadataKey::from_static(SECRET_HEADER), secret_hash);
             // A lost message is the core's to repeat; probes judge the peer.
             let _ = client.send(request).await;
             drop(permit);
@@ -101,29 +103,29 @@
 
     /// Drops the connection to a peer; the next message dials anew.
     pub fn redial(&mut self, address: &str) {
-        self.links.remove(address);
+        self.connections.remove(address);
     }
 }
 
 /// Takes peers' messages in.
 pub struct Service {
     handle: Handle,
-    proof: String,
+    secret_hash: String,
 }
 
 impl Service {
     /// The service that feeds `handle`.
     pub fn server(handle: Handle, secret: &str) -> PeerServer<Service> {
-        let service = Service { handle, proof: proof(secret) };
-        PeerServer::new(service).max_decoding_message_size(MAX_MESSAGE)
+        let service = Service { handle, secret_hash: hash_secret(secret) };
+        PeerServer::new(service).max_decoding_message_size(MAX_MESSAGE_BYTES)
     }
 }
 
 #[tonic::async_trait]
 impl Peer for Service {
     async fn send(&self, request: Request<Envelope>) -> Result<Response<Receipt>, Status> {
-        let given = request.metadata().get(SECRET).map(|v| v.as_bytes().to_vec());
-        let same = given.is_some_and(|g| bool::from(g.ct_eq(self.proof.as_bytes())));
+        let given = request.metadata().get(SECRET_HEADER).map(|v| v.as_bytes().to_vec());
+        let same = given.is_some_and(|g| bool::from(g.ct_eq(self.secret_hash.as_bytes())));
         if !same {
             return Err(Status::unauthenticated("not a peer"));
         }
--- a/router/src/poll.rs
+++ b/router/src/poll.rs
@@ -11,7 +11,7 @@
 use crate::driver::Handle;
 use crate::upstream::Client;
 
-const EVERY: Duration = Duration::from_millis(500);
+const INTERVAL: Duration = Duration::from_millis(500);
 const TIMEOUT: Duration = Duration::from_millis(400);
 
 /// A load report as upstreams write it at `GET /load`.
@@ -41,7 +41,7 @@
         for (name, address) in list {
             tokio::spawn(read(client.clone(), handle.clone(), name, address));
         }
-        tokio::time::sleep(EVERY).await;
+        tokio::time::sleep(INTERVAL).await;
     }
 }
 
--- a/router/src/publish.rs
+++ b/router/src/publish.rs
@@ -17,7 +17,7 @@
 
 /// Prefix of the keys of the history, followed by the version.
 pub const HISTORY_PREFIX: &str = "laburnumwheel/config/history/";
-const TRIES: usize = 5;
+const MAX_ATTEMPTS: usize = 5;
 
 /// A change to be accepted.
 #[derive(Clone, Debug)]
@@ -156,7 +156,7 @@
     let value = Bytes::from(text);
     let values = vec![(ROOT_KEY.to_owned(), value.clone()), (history_key(new.version), value)];
     let mut lost = None;
-    for _ in 0..TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         // Sending the same swap again is safe: it applies only to the revision read above.
         match kv.compare_and_swap_all(ROOT_KEY, revision, values.clone()).await {
             Ok(Some(_)) => return Ok(Outcome::Accepted(new.version)),
--- a/router/src/serve.rs
+++ b/router/src/serve.rs
@@ -23,13 +23,13 @@
 use tokio::sync::watch;
 
 /// Connections open at once; more wait to be accepted.
-const CONNECTIONS: usize = 8_192;
+const MAX_CONNECTIONS: usize = 8_192;
 /// A sender of a request's head may take this long.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 /// Largest head of a request, in bytes.
-const HEAD_BYTES: usize = 64 << 10;
+const MAX_HEAD_BYTES: usize = 64 << 10;
 /// After the shutdown signal, connections with answers in progress may go on for this long.
-const DRAIN: Duration = Duration::from_secs(30);
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Serves `routes` on `listener` until `stop` turns true, then lets answers in progress finish.
 ///
@@ -40,7 +40,7 @@
     S: StateData + Clone + Sync,
 {
     let graceful = GracefulShutdown::new();
-    let slots = std::sync::Arc::new(Semaphore::new(CONNECTIONS));
+    let slots = std::sync::Arc::new(Semaphore::new(MAX_CONNECTIONS));
     loop {
         let Ok(permit) = slots.clone().acquire_owned().await else {
             return;
@@ -66,7 +66,7 @@
             .http1()
             .timer(TokioTimer::new())
             .header_read_timeout(HEAD_TIMEOUT)
-            .max_buf_size(HEAD_BYTES);
+            .max_buf_size(MAX_HEAD_BYTES);
         let connection = builder.serve_connection(TokioIo::new(stream), service);
         let connection = graceful.watch(connection.into_owned());
         tokio::spawn(async move {
@@ -75,5 +75,5 @@
             drop(permit);
         });
     }
-    let _ = tokio::time::timeout(DRAIN, graceful.shutdown()).await;
+    let _ = tokio::time::timeout(DRAIN_TIMEOUT, graceful.shutdown()).await;
 }
--- a/router/src/settings.rs
+++ b/router/src/settings.rs
@@ -47,7 +47,7 @@
     "metrics",
     "log-level",
 ];
-const MIN_SECRET: usize = 8;
+const MIN_SECRET_BYTES: usize = 8;
 
 /// One thing wrong with the settings.
 #[derive(Clone, Debug, PartialEq, Eq, Display)]
@@ -186,8 +186,8 @@
 
     fn secret(&mut self, flag: &str) -> String {
         let secret = self.required(flag);
-        if secret.as_ref().is_some_and(|s| s.len() < MIN_SECRET) {
-            self.problem(flag, format!("must have at least {MIN_SECRET} bytes"));
+        if secret.as_ref().is_some_and(|s| s.len() < MIN_SECRET_BYTES) {
+            self.problem(flag, format!("must have at least {MIN_SECRET_BYTES} bytes"));
         }
         secret.unwrap_or_default()
     }
