--- a/core/src/member.rs
+++ b/core/src/member.rs
@@ -6,7 +6,7 @@
 //! answer is dialled anew before it is suspected, and suspected before it is dead; only its owner
 //! can clear it, with a higher version of its record.
 
-mod judge;
+mod detection;
 mod record;
 
 use std::collections::BTreeMap;
@@ -29,33 +29,33 @@
 pub use self::record::home;
 
 /// Time between two rounds of probes.
-pub const PROBE: Span = Span::secs(1);
+pub const PROBE_INTERVAL: Span = Span::secs(1);
 /// A probe without an answer for this long is repeated over a new connection.
-pub const REDIAL_AFTER: Span = Span::millis(300);
+pub const REDIAL_TIMEOUT: Span = Span::millis(300);
 /// A probe without an answer for this long makes its target suspected.
-pub const SUSPECT_AFTER: Span = Span::millis(900);
+pub const SUSPECT_TIMEOUT: Span = Span::millis(900);
 /// A suspected router that does not object for this long is dead.
-pub const DEAD_AFTER: Span = Span::millis(2_500);
+pub const DEATH_TIMEOUT: Span = Span::millis(2_500);
 /// Time after which a router that left or died is forgotten.
-pub const FORGET_AFTER: Span = Span::secs(7_200);
-const RING: usize = 2;
+pub const RETENTION: Span = Span::secs(7_200);
+const RING_TARGETS: usize = 2;
 const FANOUT: usize = 4;
-const RIDES: u32 = 6;
-const RECORDS_PER_PROBE: usize = 8;
-const DEAD_PROBE: Span = Span::secs(5);
+const MAX_PIGGYBACKS: u32 = 6;
+const MAX_PIGGYBACKED_RECORDS: usize = 8;
+const DEAD_PROBE_INTERVAL: Span = Span::secs(5);
 const MAX_MEMBERS: usize = 4_096;
 const MAX_RELAYS: usize = 256;
-const REPAIR_EVERY: Span = Span::secs(5);
+const REPAIR_INTERVAL: Span = Span::secs(5);
 
 #[derive(Debug)]
 struct Member {
     record: Record,
     since: Time,
-    rides: u32,
+    piggybacks: u32,
 }
 
 #[derive(Clone, Debug)]
-struct Probe {
+struct PendingProbe {
     name: String,
     sent: Time,
     redialled: bool,
@@ -63,7 +63,7 @@
 
 /// A probe as it arrived.
 #[derive(Debug)]
-pub struct Asked {
+pub struct ReceivedProbe {
     /// Number to be repeated in the answer.
     pub sequence: u64,
     /// The asker has dialled anew.
@@ -85,14 +85,14 @@
 pub struct Members {
     own: Record,
     others: BTreeMap<String, Member>,
-    probes: BTreeMap<u64, Probe>,
+    probes: BTreeMap<u64, PendingProbe>,
     relays: BTreeMap<u64, Relay>,
     sequence: u64,
     last_round: Time,
     last_tick: Time,
     last_dead_probe: Time,
     last_repair: Time,
-    own_rides: u32,
+    own_piggybacks: u32,
     config_version: u64,
     changes: u64,
 }
@@ -110,7 +110,7 @@
             last_tick: Time(0),
             last_dead_probe: Time(0),
             last_repair: Time(0),
-            own_rides: RIDES,
+            own_piggybacks: MAX_PIGGYBACKS,
             config_version: 0,
             changes: 0,
         }
@@ -149,7 +149,7 @@
         self.changes
     }
 
-    /// Sets the configuration version that rides on probes.
+    /// Sets the configuration version that piggybacks on probes.
     pub fn set_config_version(&mut self, version: u64) {
         self.config_version = version;
     }
@@ -163,9 +163,9 @@
     ) {
         change(&mut self.own);
         self.own.version += 1;
-        self.own_rides = RIDES;
+        self.own_piggybacks = MAX_PIGGYBACKS;
         let news = self.gossip_of(vec![self.own.clone()]);
-        self.send_news(rng, out, news);
+        self.broadcast(rng, out, news);
     }
 
     /// The live router that is the home of keys with this base.
@@ -184,7 +184,7 @@
         let each = self.all().map(|r| {
             let version = r.version.to_le_bytes();
             let incarnation = r.incarnation.to_le_bytes();
-            fold(&[r.name.as_bytes(), &incarnation, &version, &[r.verdict as u8]])
+            fnv1a(&[r.name.as_bytes(), &incarnation, &version, &[r.verdict as u8]])
         });
         each.fold(0, |a, b| a ^ b)
     }
@@ -192,21 +192,21 @@
     /// Records for a probe to `to`: recent changes, and what is held against `to` itself.
     fn gossip_for(&mut self, to: &str) -> Gossip {
         let mut records = Vec::new();
-        if self.own_rides > 0 {
-            self.own_rides -= 1;
+        if self.own_piggybacks > 0 {
+            self.own_piggybacks -= 1;
             records.push(self.own.clone());
         }
         let held = self.others.get(to).filter(|m| m.record.verdict != Verdict::Alive);
         records.extend(held.map(|m| m.record.clone()));
-        let fresh = self.others.values_mut().filter(|m| m.rides > 0 && m.record.name != to);
-        for member in fresh.take(RECORDS_PER_PROBE) {
-            member.rides -= 1;
+        let fresh = self.others.values_mut().filter(|m| m.piggybacks > 0 && m.record.name != to);
+        for member in fresh.take(MAX_PIGGYBACKED_RECORDS) {
+            member.piggybacks -= 1;
             records.push(member.record.clone());
         }
         self.gossip_of(records)
     }
 
-    fn send_news(&self, rng: &mut SmallRng, out: &mut Vec<Action>, news: Gossip) {
+    fn broadcast(&self, rng: &mut SmallRng, out: &mut Vec<Action>, news: Gossip) {
         let live: Vec<&Record> = self.live().collect();
         for record in live.choose_multiple(rng, FANOUT) {
             let message = Message::News(news.clone());
@@ -215,13 +215,13 @@
     }
 
     /// Tells a few routers of the configuration version in force here.
-    pub fn announce(&self, rng: &mut SmallRng, out: &mut Vec<Action>) {
+    pub fn announce_version(&self, rng: &mut SmallRng, out: &mut Vec<Action>) {
         let news = self.gossip_of(Vec::new());
-        self.send_news(rng, out, news);
+        self.broadcast(rng, out, news);
     }
 
     /// Takes records in; changes are sent on, and lines logged.
-    pub fn learn(
+    pub fn merge(
         &mut self,
         now: Time,
         rng: &mut SmallRng,
@@ -231,34 +231,34 @@
         let mut news = Vec::new();
         for record in records {
             if record.name == self.own.name {
-                self.answer_claim(&record, &mut news);
+                self.refute(&record, &mut news);
                 continue;
             }
-            if let Some(record) = self.learn_one(now, record, out) {
+            if let Some(record) = self.merge_record(now, record, out) {
                 news.push(record);
             }
         }
         if !news.is_empty() {
             let gossip = self.gossip_of(news);
-            self.send_news(rng, out, gossip);
+            self.broadcast(rng, out, gossip);
         }
     }
 
     /// A verdict against this router is cleared by a higher version of its own record.
-    fn answer_claim(&mut self, claim: &Record, news: &mut Vec<Record>) {
+    fn refute(&mut self, claim: &Record, news: &mut Vec<Record>) {
         if claim.incarnation != self.own.incarnation {
             return;
         }
         if claim.version >= self.own.version && claim.verdict != Verdict::Alive {
             self.own.version = claim.version + 1;
-            self.own_rides = RIDES;
+            self.own_piggybacks = MAX_PIGGYBACKS;
             news.push(self.own.clone());
         }
     }
 
-    fn learn_one(&mut self, now: Time, record: Record, out: &mut Vec<Action>) -> Option<Record> {
+    fn merge_record(&mut self, now: Time, record: Record, out: &mut Vec<Action>) -> Option<Record> {
         let known = self.others.get(&record.name);
-        if known.is_some_and(|m| record.rank() <= m.record.rank()) {
+        if known.is_some_and(|m| record.precedence() <= m.record.precedence()) {
             return None;
         }
         if known.is_none() && self.others.len() >= MAX_MEMBERS {
@@ -274,37 +274,37 @@
             out.push(Action::Log(line));
         }
         self.changes += 1;
-        let member = Member { record: record.clone(), since: now, rides: RIDES };
+        let member = Member { record: record.clone(), since: now, piggybacks: MAX_PIGGYBACKS };
         self.others.insert(record.name.clone(), member);
         Some(record)
     }
 
     /// The routers behind this one in the ring of hashed names.
-    fn ring(&self) -> Vec<String> {
+    fn ring_successors(&self) -> Vec<String> {
         let place = |name: &str| rendezvous::hash(&[name.as_bytes()]);
         let own = place(&self.own.name);
         let mut order: Vec<(u64, &str)> =
             self.live().map(|r| (place(&r.name).wrapping_sub(own), r.name.as_str())).collect();
         order.sort_unstable();
-        order.into_iter().take(RING).map(|(_, n)| n.to_owned()).collect()
+        order.into_iter().take(RING_TARGETS).map(|(_, n)| n.to_owned()).collect()
     }
 
     /// Sends due probes and judges those without an answer.
     pub fn tick(&mut self, now: Time, rng: &mut SmallRng, out: &mut Vec<Action>) {
-        self.excuse(now);
-        self.judge(now, rng, out);
-        if now.since(self.last_round) < PROBE {
+        self.extend_deadlines(now);
+        self.detect_failures(now, rng, out);
+        if now.since(self.last_round) < PROBE_INTERVAL {
             return;
         }
         self.last_round = now;
-        let mut targets = self.ring();
+        let mut targets = self.ring_successors();
         let live: Vec<String> = self.live().map(|r| r.name.clone()).collect();
         if let Some(name) = live.choose(rng)
             && !targets.contains(name)
         {
             targets.push(name.clone());
         }
-        if now.since(self.last_dead_probe) >= DEAD_PROBE {
+        if now.since(self.last_dead_probe) >= DEAD_PROBE_INTERVAL {
             self.last_dead_probe = now;
             // A partition makes each side bury the other; only a probe across can heal it.
             let dead = self
@@ -318,9 +318,9 @@
             self.probe(now, out, name);
         }
         let before = self.others.len();
-        self.others.retain(|_, m| m.record.is_live() || now.since(m.since) < FORGET_AFTER);
+        self.others.retain(|_, m| m.record.is_live() || now.since(m.since) < RETENTION);
         self.changes += (before - self.others.len()) as u64;
-        self.relays.retain(|_, r| now.since(r.sent) < DEAD_AFTER);
+        self.relays.retain(|_, r| now.since(r.sent) < DEATH_TIMEOUT);
     }
 
     fn probe(&mut self, now: Time, out: &mut Vec<Action>, name: String) {
@@ -336,7 +336,7 @@
         let address = member.record.peer_address.clone();
         let message = Message::Probe { sequence, anew: false, gossip };
         out.push(Action::Send { address, message });
-        self.probes.insert(sequence, Probe { name, sent: now, redialled: false });
+        self.probes.insert(sequence, PendingProbe { name, sent: now, redialled: false });
     }
 
     /// Takes a probe in and answers it.
@@ -349,10 +349,10 @@
         rng: &mut SmallRng,
         out: &mut Vec<Action>,
         from: &str,
-        probe: Asked,
+        probe: ReceivedProbe,
     ) {
-        let Asked { sequence, anew, gossip } = probe;
-        self.learn(now, rng, out, gossip.records);
+        let ReceivedProbe { sequence, anew, gossip } = probe;
+        self.merge(now, rng, out, gossip.records);
         let answer = self.gossip_for(from);
         if let Some(record) = self.get(from) {
             let address = record.peer_address.clone();
@@ -383,8 +383,8 @@
         }
         self.probes.remove(&sequence);
         let digest = gossip.digest;
-        self.learn(now, rng, out, gossip.records);
-        if digest != self.digest() && now.since(self.last_repair) >= REPAIR_EVERY {
+        self.merge(now, rng, out, gossip.records);
+        if digest != self.digest() && now.since(self.last_repair) >= REPAIR_INTERVAL {
             // Gossip is lossy; tables that still differ are exchanged whole, at most this often.
             self.last_repair = now;
             if let Some(record) = self.get(from) {
@@ -417,9 +417,15 @@
     }
 
     /// Sends the whole table to a router that asks for it.
-    pub fn on_ask(&mut self, now: Time, rng: &mut SmallRng, out: &mut Vec<Action>, record: Record) {
+    pub fn on_ask_members(
+        &mut self,
+        now: Time,
+        rng: &mut SmallRng,
+        out: &mut Vec<Action>,
+        record: Record,
+    ) {
         let address = record.peer_address.clone();
-        self.learn(now, rng, out, vec![record]);
+        self.merge(now, rng, out, vec![record]);
         let message = Message::Members(self.all().cloned().collect());
         out.push(Action::Send { address, message });
     }
@@ -431,7 +437,7 @@
 }
 
 /// FNV-1a over `parts`; the digest is compared, not trusted.
-fn fold(parts: &[&[u8]]) -> u64 {
+fn fnv1a(parts: &[&[u8]]) -> u64 {
     let bytes = parts.iter().flat_map(|p| p.iter());
     let hash = bytes.fold(0xcbf2_9ce4_8422_2325, |h: u64, b| {
         (h ^ u64::from(*b)).wrapping_mul(0x0000_0100_0000_01b3)
--- a/core/src/member/record.rs
+++ b/core/src/member/record.rs
@@ -56,7 +56,7 @@
 }
 
 impl Record {
-    pub(super) fn rank(&self) -> (u64, u64, Verdict) {
+    pub(super) fn precedence(&self) -> (u64, u64, Verdict) {
         (self.incarnation, self.version, self.verdict)
     }
 
@@ -66,7 +66,7 @@
     }
 
     /// Whether callers may be sent to it.
-    pub fn takes_callers(&self) -> bool {
+    pub fn accepts_callers(&self) -> bool {
         self.state == State::Serving && self.verdict == Verdict::Alive
     }
 
--- a/core/src/node/mod.rs
+++ b/core/src/node/mod.rs
@@ -245,7 +245,7 @@
         self.stats.entries += 1;
         let own_wanted = self.requests.len() as u32;
         let own = self.members.own().name.clone();
-        let open = self.members.all().filter(|r| r.takes_callers());
+        let open = self.members.all().filter(|r| r.accepts_callers());
         let near = |r: &&Record| group.is_none_or(|g| self.cells.has(g, &r.name));
         let candidates: Vec<entry::Candidate<'_>> = open
             .filter(near)
--- a/core/src/node/orders.rs
+++ b/core/src/node/orders.rs
@@ -65,7 +65,7 @@
     /// Whether this router is the one that tries for the group's lease. The choice only spares
     /// writes; the lease is what makes one orderer.
     fn is_candidate(&self, group: &str) -> bool {
-        let open = self.members.all().filter(|r| r.takes_callers());
+        let open = self.members.all().filter(|r| r.accepts_callers());
         let near = |name: &str| rendezvous::distance(group, name, 1.0);
         let nearest = open.min_by(|a, b| near(&a.name).total_cmp(&near(&b.name)));
         nearest.is_some_and(|r| r.name == self.settings.name)
--- a/core/src/node/peers.rs
+++ b/core/src/node/peers.rs
@@ -4,7 +4,7 @@
 use crate::action::Action;
 use crate::action::Line;
 use crate::idempotency::Handover;
-use crate::member::Asked;
+use crate::member::ReceivedProbe;
 use crate::peer::Demand;
 use crate::peer::Message;
 use crate::time::Time;
@@ -58,7 +58,7 @@
         match message {
             Message::Probe { sequence, anew, gossip } => {
                 self.on_gossip(now, from, &gossip);
-                let probe = Asked { sequence, anew, gossip };
+                let probe = ReceivedProbe { sequence, anew, gossip };
                 let (rng, out) = (&mut self.rng, &mut self.out);
                 self.members.on_probe(now, rng, out, from, probe);
             }
@@ -72,13 +72,13 @@
             }
             Message::News(gossip) => {
                 self.on_gossip(now, from, &gossip);
-                self.members.learn(now, &mut self.rng, &mut self.out, gossip.records);
+                self.members.merge(now, &mut self.rng, &mut self.out, gossip.records);
             }
             Message::AskMembers { record } => {
-                self.members.on_ask(now, &mut self.rng, &mut self.out, record);
+                self.members.on_ask_members(now, &mut self.rng, &mut self.out, record);
             }
             Message::Members(records) => {
-                self.members.learn(now, &mut self.rng, &mut self.out, records);
+                self.members.merge(now, &mut self.rng, &mut self.out, records);
             }
             Message::Demand(demand) => self.on_demand(now, from, demand),
             Message::AskRoot { have } => {
--- a/core/src/node/service.rs
+++ b/core/src/node/service.rs
@@ -138,7 +138,7 @@
                 self.send(other.peer_address.clone(), message);
             }
         }
-        self.members.learn(now, &mut self.rng, &mut self.out, records);
+        self.members.merge(now, &mut self.rng, &mut self.out, records);
         let live: Vec<Record> = self.members.all().filter(|r| r.is_live()).cloned().collect();
         let homes: Vec<String> = live.iter().map(Record::home).collect();
         let same = homes.len() == listed.len() && homes.iter().all(|h| listed.contains(h));
--- a/core/src/node/stop.rs
+++ b/core/src/node/stop.rs
@@ -94,7 +94,7 @@
     /// Chooses the one successor. It is never changed: two owners of a key could both run it.
     fn begin_hand_over(&mut self, now: Time) {
         let own = self.members.own().name.clone();
-        let open = self.members.live().filter(|r| r.takes_callers());
+        let open = self.members.live().filter(|r| r.accepts_callers());
         let nearest = open.min_by(|a, b| {
             let distance = |name: &str| crate::rendezvous::distance(&own, name, 1.0);
             distance(&a.name).total_cmp(&distance(&b.name))
--- a/core/src/node/versions.rs
+++ b/core/src/node/versions.rs
@@ -76,7 +76,7 @@
                 self.lowest_protected_tier = self.lowest_protected_tier();
                 let version = self.config_version();
                 self.members.set_config_version(version);
-                self.members.announce(&mut self.rng, &mut self.out);
+                self.members.announce_version(&mut self.rng, &mut self.out);
                 self.out.push(Action::Log(Line::new("config_in_force").with("version", version)));
                 self.refresh_shares(now);
             }
--- a/core/tests/members.rs
+++ b/core/tests/members.rs
@@ -35,7 +35,7 @@
     let mut rng = SmallRng::seed_from_u64(1);
     let mut out: Vec<Action> = Vec::new();
     let mut members = Members::new(record("one", Verdict::Alive));
-    members.learn(START, &mut rng, &mut out, vec![record("two", Verdict::Alive)]);
+    members.merge(START, &mut rng, &mut out, vec![record("two", Verdict::Alive)]);
     members.tick(START, &mut rng, &mut out);
 
     members.tick(START + Span::millis(3_500), &mut rng, &mut out);
@@ -50,7 +50,7 @@
     let mut rng = SmallRng::seed_from_u64(1);
     let mut out: Vec<Action> = Vec::new();
     let mut members = Members::new(record("one", Verdict::Alive));
-    members.learn(START, &mut rng, &mut out, vec![record("two", Verdict::Suspect)]);
+    members.merge(START, &mut rng, &mut out, vec![record("two", Verdict::Suspect)]);
     members.tick(START, &mut rng, &mut out);
 
     members.tick(START + Span::millis(3_500), &mut rng, &mut out);
--- a/ctl/src/cmd/demo.rs
+++ b/ctl/src/cmd/demo.rs
@@ -158,7 +158,7 @@
             let mut serving = 0;
             for router in &self.routers {
                 let all =
-                    router.handle.query(|n, _| n.members().filter(|r| r.takes_callers()).count());
+                    router.handle.query(|n, _| n.members().filter(|r| r.accepts_callers()).count());
                 serving += usize::from(all.await == Some(self.routers.len()));
             }
             if serving == self.routers.len() {
--- a/replay/tests/support/mod.rs
+++ b/replay/tests/support/mod.rs
@@ -293,13 +293,13 @@
     /// Routers that callers may be sent to, in this router's view.
     pub fn serving_seen_by(&self, router: usize) -> usize {
         let node = self.net.node(router).expect("it runs");
-        node.members().filter(|r| r.takes_callers()).count()
+        node.members().filter(|r| r.accepts_callers()).count()
     }
 
     /// Whether a router's entry answers may name another.
     pub fn names(&self, router: usize, other: usize) -> bool {
         let node = self.net.node(router).expect("it runs");
-        node.members().any(|r| r.takes_callers() && r.name == format!("r{other}"))
+        node.members().any(|r| r.accepts_callers() && r.name == format!("r{other}"))
     }
 
     /// Version in force at a router.
