--- a/core/src/node/dispatch.rs
+++ b/core/src/node/dispatch.rs
@@ -17,7 +17,7 @@
 use crate::config::Kind;
 use crate::event::AttemptId;
 use crate::event::RequestId;
-use crate::share::Wanted;
+use crate::share::TierDemand;
 use crate::time::Span;
 use crate::time::Time;
 use crate::upstream::Criteria;
@@ -51,7 +51,7 @@
 
 impl GroupState {
     /// Requests at upstreams and in the queue, by tier.
-    pub(super) fn wanted(&self) -> Wanted {
+    pub(super) fn wanted(&self) -> TierDemand {
         let mut wanted = self.queue.len_by_tier();
         for (sum, running) in wanted.iter_mut().zip(self.running) {
             *sum += running;
--- a/core/src/node/mod.rs
+++ b/core/src/node/mod.rs
@@ -44,8 +44,8 @@
 use crate::queue::Queue;
 use crate::retry::Budget;
 use crate::share::Demands;
-use crate::share::Smooth;
-use crate::share::Wanted;
+use crate::share::SmoothedDemand;
+use crate::share::TierDemand;
 use crate::stats::Stats;
 use crate::sync::Sync;
 use crate::time::Span;
@@ -85,13 +85,13 @@
     budget: Budget,
     headroom: f64,
     /// Attempts in progress, by tier.
-    running: Wanted,
+    running: TierDemand,
     /// Attempts that may give way to a higher tier, by their tier.
     preemptible: BTreeSet<(u8, AttemptId)>,
     /// No slot was free for the head of the queue, and nothing has changed since.
     blocked: bool,
     /// Demand as slices follow it.
-    demand: Smooth,
+    demand: SmoothedDemand,
     /// Mean time of an attempt, in seconds.
     mean_attempt_s: f64,
 }
@@ -103,10 +103,10 @@
             pool: Pool::default(),
             budget: Budget::default(),
             headroom: dispatch::INITIAL_HEADROOM,
-            running: Wanted::default(),
+            running: TierDemand::default(),
             preemptible: BTreeSet::new(),
             blocked: false,
-            demand: Smooth::default(),
+            demand: SmoothedDemand::default(),
             mean_attempt_s: 0.0,
         }
     }
@@ -250,7 +250,7 @@
         let candidates: Vec<entry::Candidate<'_>> = open
             .filter(near)
             .map(|record| {
-                let known = self.demands.total(now, &record.name);
+                let known = self.demands.total_demand(now, &record.name);
                 let wanted = if record.name == own { own_wanted } else { known.unwrap_or(0) };
                 entry::Candidate { record, wanted }
             })
@@ -259,10 +259,10 @@
     }
 
     /// Smoothed demand, by group name and tier.
-    fn wanted(&self) -> BTreeMap<String, Wanted> {
+    fn wanted(&self) -> BTreeMap<String, TierDemand> {
         let all = self.groups.iter();
         let busy = all.map(|(key, g)| (self.index.group(*key).name.clone(), g.demand.get()));
-        busy.filter(|(_, w)| *w != Wanted::default()).collect()
+        busy.filter(|(_, w)| *w != TierDemand::default()).collect()
     }
 
     /// Live routers that this one tells its demand: those of its cells, and of the cells of groups
@@ -270,7 +270,7 @@
     fn sharing_peers(&self) -> Vec<&Record> {
         let mut groups = self.cells.of(&self.settings.name);
         if let Some(groups) = &mut groups {
-            let busy = self.groups.iter().filter(|(_, g)| g.demand.get() != Wanted::default());
+            let busy = self.groups.iter().filter(|(_, g)| g.demand.get() != TierDemand::default());
             groups.extend(busy.map(|(key, _)| *key));
         }
         let names = groups.as_ref().map(|g| self.cells.routers(g));
@@ -281,7 +281,7 @@
     fn count_routers(&self, now: Time) -> Routers {
         let sharing_peers = self.sharing_peers();
         let names = sharing_peers.iter().map(|r| r.name.as_str());
-        Routers { live: sharing_peers.len() + 1, heard: self.demands.heard(now, names) }
+        Routers { live: sharing_peers.len() + 1, heard: self.demands.fresh_count(now, names) }
     }
 
     /// Configuration in force.
--- a/core/src/node/peers.rs
+++ b/core/src/node/peers.rs
@@ -33,7 +33,7 @@
     }
 
     pub(super) fn on_demand(&mut self, now: Time, from: &str, demand: Demand) {
-        self.demands.report(now, from, demand.wanted);
+        self.demands.receive(now, from, demand.wanted);
         for (name, (requests, tokens)) in demand.used {
             if let Some(org) = self.index.organisation_named(&name) {
                 self.limits.report(now, org, from, requests, tokens);
--- a/core/src/peer.rs
+++ b/core/src/peer.rs
@@ -12,7 +12,7 @@
 use crate::event::Submission;
 use crate::idempotency;
 use crate::member::Record;
-use crate::share::Wanted;
+use crate::share::TierDemand;
 
 /// Version of the payload encoding in an envelope.
 pub const CODEC: u32 = 1;
@@ -32,7 +32,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Demand {
     /// Requests at upstreams and in the queue, by group and tier.
-    pub wanted: BTreeMap<String, Wanted>,
+    pub wanted: BTreeMap<String, TierDemand>,
     /// Requests and tokens a second, by organisation with a limit.
     pub used: BTreeMap<String, (f32, f32)>,
     /// Upstreams that told the sender they are leaving.
--- a/core/src/queue.rs
+++ b/core/src/queue.rs
@@ -15,7 +15,7 @@
 use crate::config::OrgKey;
 use crate::config::TIERS;
 use crate::node::request::Request;
-use crate::share::Wanted;
+use crate::share::TierDemand;
 use crate::time::Span;
 use crate::time::Time;
 
@@ -271,7 +271,7 @@
     }
 
     /// Number of queued requests by tier.
-    pub fn len_by_tier(&self) -> Wanted {
+    pub fn len_by_tier(&self) -> TierDemand {
         let mut lens = [0; TIERS];
         for class in self.classes.values() {
             if let Some(len) = lens.get_mut(usize::from(class.rule.tier)) {
--- a/core/src/share.rs
+++ b/core/src/share.rs
@@ -14,7 +14,7 @@
 use crate::time::Time;
 
 /// A report of demand is fresh for this long.
-pub const FRESH: Span = Span::secs(5);
+pub const MAX_REPORT_AGE: Span = Span::secs(5);
 
 /// A router's part of a group's capacity, as an interval of all of it from 0 to 1.
 ///
@@ -29,7 +29,7 @@
 }
 
 /// Requests wanted, by tier; in reports in sixteenths.
-pub type Wanted = [u32; TIERS];
+pub type TierDemand = [u32; TIERS];
 
 /// Sixteenths of a request: the unit of smoothed demand in reports.
 const UNIT: f64 = 16.0;
@@ -40,20 +40,20 @@
 /// Slices follow demand. Following every arrival would move them faster than requests end, and
 /// two routers would use the same slots meanwhile.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Smooth {
+pub struct SmoothedDemand {
     values: [f64; TIERS],
 }
 
-impl Smooth {
+impl SmoothedDemand {
     /// Takes a reading in; one every 50 ms gives a time constant of two seconds.
-    pub fn observe(&mut self, wanted: &Wanted) {
+    pub fn observe(&mut self, wanted: &TierDemand) {
         for (value, wanted) in self.values.iter_mut().zip(wanted) {
             *value += (f64::from(*wanted) * UNIT - *value) * STEP;
         }
     }
 
     /// The smoothed demand, in sixteenths of a request.
-    pub fn get(&self) -> Wanted {
+    pub fn get(&self) -> TierDemand {
         self.values.map(|v| v.round() as u32)
     }
 }
@@ -67,7 +67,7 @@
 #[derive(Debug)]
 struct Report {
     at: Time,
-    wanted: BTreeMap<String, Wanted>,
+    wanted: BTreeMap<String, TierDemand>,
 }
 
 /// What is known of one group's routers.
@@ -81,7 +81,7 @@
 }
 
 impl Group {
-    fn add(&mut self, wanted: &Wanted) {
+    fn add(&mut self, wanted: &TierDemand) {
         self.live += 1.0;
         self.heard += 1.0;
         for (sum, wanted) in self.total.iter_mut().zip(wanted) {
@@ -90,7 +90,7 @@
     }
 
     /// The part of the group for a router that wants this; 0 to 1.
-    fn part(&self, wanted: Option<&Wanted>, slots: f64) -> f64 {
+    fn part(&self, wanted: Option<&TierDemand>, slots: f64) -> f64 {
         let Some(wanted) = wanted else {
             return 1.0 / self.live;
         };
@@ -108,22 +108,22 @@
 
 impl Demands {
     /// Takes a router's report in.
-    pub fn report(&mut self, now: Time, router: &str, wanted: BTreeMap<String, Wanted>) {
+    pub fn receive(&mut self, now: Time, router: &str, wanted: BTreeMap<String, TierDemand>) {
         self.reports.insert(router.to_owned(), Report { at: now, wanted });
     }
 
     /// Fresh reports among `live` routers.
-    pub fn heard<'a>(&self, now: Time, live: impl Iterator<Item = &'a str>) -> usize {
+    pub fn fresh_count<'a>(&self, now: Time, live: impl Iterator<Item = &'a str>) -> usize {
         live.filter(|r| self.fresh(now, r).is_some()).count()
     }
 
-    fn fresh(&self, now: Time, router: &str) -> Option<&BTreeMap<String, Wanted>> {
+    fn fresh(&self, now: Time, router: &str) -> Option<&BTreeMap<String, TierDemand>> {
         let report = self.reports.get(router)?;
-        (now.since(report.at) <= FRESH).then_some(&report.wanted)
+        (now.since(report.at) <= MAX_REPORT_AGE).then_some(&report.wanted)
     }
 
     /// Everything a router wants, over all groups and tiers.
-    pub fn total(&self, now: Time, router: &str) -> Option<u32> {
+    pub fn total_demand(&self, now: Time, router: &str) -> Option<u32> {
         let all = self.fresh(now, router)?.values().flatten();
         let sum = all.fold(0, |a: u32, b| a.saturating_add(*b));
         Some(sum / UNIT as u32)
@@ -134,7 +134,7 @@
         &self,
         now: Time,
         group: (&str, u32),
-        own: (&str, &Wanted),
+        own: (&str, &TierDemand),
         others: impl Iterator<Item = &'a str> + Clone,
     ) -> Slice {
         let (name, slots) = (group.0, f64::from(group.1.max(1)));
@@ -157,6 +157,6 @@
 
     /// Drops the reports of routers that are gone.
     pub fn prune(&mut self, now: Time) {
-        self.reports.retain(|_, report| now.since(report.at) <= FRESH);
+        self.reports.retain(|_, report| now.since(report.at) <= MAX_REPORT_AGE);
     }
 }
