--- a/core/src/limit.rs
+++ b/core/src/limit.rs
@@ -12,9 +12,9 @@
 use crate::time::Time;
 
 /// Bucket depth, in seconds of the share.
-pub const DEPTH: f64 = 1.0;
+pub const BUCKET_DEPTH_SECS: f64 = 1.0;
 /// Peers' reports of use are forgotten after this long.
-pub const FORGET: Span = Span::secs(10);
+pub const REPORT_RETENTION: Span = Span::secs(10);
 const USE_STEP: f64 = 0.3;
 /// Shortest time that a rate is measured over.
 const MEASURE: Span = Span::millis(200);
@@ -33,7 +33,7 @@
 
 impl Bucket {
     fn refill(&mut self, rate: f64, elapsed: f64) {
-        let depth = (rate * DEPTH).max(1.0);
+        let depth = (rate * BUCKET_DEPTH_SECS).max(1.0);
         self.level = (self.level + rate * elapsed).min(depth);
     }
 
@@ -75,7 +75,7 @@
     /// Live routers, this one included.
     pub live: usize,
     /// Live others whose report is fresh.
-    pub heard: usize,
+    pub reporting: usize,
 }
 
 /// This router's part of `limit`.
@@ -84,7 +84,7 @@
 /// routers that report, in proportion to what they use.
 fn share(limit: u32, own: f64, others: f64, routers: Routers) -> f64 {
     let live = routers.live.max(1) as f64;
-    let known = (routers.heard as f64 + 1.0).min(live);
+    let known = (routers.reporting as f64 + 1.0).min(live);
     let divided = f64::from(limit) * known / live;
     let total = own + others;
     if total <= 0.0 {
@@ -113,7 +113,7 @@
         let account = self.accounts.entry(org).or_default();
         let (mut other_requests, mut other_tokens) = (0.0, 0.0);
         for (at, requests, tokens) in account.peers.values() {
-            if now.since(*at) <= FORGET {
+            if now.since(*at) <= REPORT_RETENTION {
                 other_requests += f64::from(*requests);
                 other_tokens += f64::from(*tokens);
             }
@@ -123,8 +123,8 @@
         let elapsed = now.since(account.refilled).as_secs_f64();
         if !account.fresh {
             account.fresh = true;
-            account.requests.level = (requests_rate * DEPTH).max(1.0);
-            account.tokens.level = (tokens_rate * DEPTH).max(1.0);
+            account.requests.level = (requests_rate * BUCKET_DEPTH_SECS).max(1.0);
+            account.tokens.level = (tokens_rate * BUCKET_DEPTH_SECS).max(1.0);
         }
         account.requests.refill(requests_rate, elapsed);
         account.tokens.refill(tokens_rate, elapsed);
@@ -137,7 +137,7 @@
             return Err(Span::from_secs_f64(wait));
         }
         // A request larger than the bucket passes when the bucket is full and leaves a debt.
-        let need = f64::from(tokens).min((tokens_rate * DEPTH).max(1.0));
+        let need = f64::from(tokens).min((tokens_rate * BUCKET_DEPTH_SECS).max(1.0));
         if limit.tokens > 0 && account.tokens.level < need {
             let wait = (need - account.tokens.level) / tokens_rate.max(1e-6);
             return Err(Span::from_secs_f64(wait));
@@ -148,14 +148,14 @@
     }
 
     /// Corrects the tokens taken at admission by what the answer really had.
-    pub fn settle(&mut self, org: OrgKey, estimated: u32, real: u32) {
+    pub fn reconcile(&mut self, org: OrgKey, estimated: u32, real: u32) {
         if let Some(account) = self.accounts.get_mut(&org) {
             account.tokens.level += f64::from(estimated) - f64::from(real);
         }
     }
 
     /// Takes a peer's report of use in.
-    pub fn report(&mut self, now: Time, org: OrgKey, peer: &str, requests: f32, tokens: f32) {
+    pub fn receive(&mut self, now: Time, org: OrgKey, peer: &str, requests: f32, tokens: f32) {
         let account = self.accounts.entry(org).or_default();
         let clean = |v: f32| if v.is_finite() { v.max(0.0) } else { 0.0 };
         account.peers.insert(peer.to_owned(), (now, clean(requests), clean(tokens)));
@@ -172,7 +172,7 @@
             for account in self.accounts.values_mut() {
                 account.requests.measure(elapsed.as_secs_f64());
                 account.tokens.measure(elapsed.as_secs_f64());
-                account.peers.retain(|_, (at, _, _)| now.since(*at) <= FORGET);
+                account.peers.retain(|_, (at, _, _)| now.since(*at) <= REPORT_RETENTION);
             }
             self.accounts.retain(|_, a| a.requests.rate > IDLE || !a.peers.is_empty());
         }
--- a/core/src/node/mod.rs
+++ b/core/src/node/mod.rs
@@ -175,7 +175,7 @@
             members: Members::new(record),
             demands: Demands::default(),
             cells: Cells::default(),
-            routers: Routers { live: 1, heard: 0 },
+            routers: Routers { live: 1, reporting: 0 },
             lowest_protected_tier: None,
             forwards: BTreeMap::new(),
             orders: BTreeMap::new(),
@@ -281,7 +281,7 @@
     fn count_routers(&self, now: Time) -> Routers {
         let sharing_peers = self.sharing_peers();
         let names = sharing_peers.iter().map(|r| r.name.as_str());
-        Routers { live: sharing_peers.len() + 1, heard: self.demands.fresh_count(now, names) }
+        Routers { live: sharing_peers.len() + 1, reporting: self.demands.fresh_count(now, names) }
     }
 
     /// Configuration in force.
--- a/core/src/node/peers.rs
+++ b/core/src/node/peers.rs
@@ -36,7 +36,7 @@
         self.demands.receive(now, from, demand.wanted);
         for (name, (requests, tokens)) in demand.used {
             if let Some(org) = self.index.organisation_named(&name) {
-                self.limits.report(now, org, from, requests, tokens);
+                self.limits.receive(now, org, from, requests, tokens);
             }
         }
         for name in demand.leaving {
--- a/core/src/node/request.rs
+++ b/core/src/node/request.rs
@@ -341,11 +341,11 @@
         match &outcome {
             Outcome::Whole { tokens, .. } => {
                 self.estimator.add(r.flow.class, r.flow.org, *tokens);
-                self.limits.settle(r.flow.org, r.estimate, *tokens);
+                self.limits.reconcile(r.flow.org, r.estimate, *tokens);
             }
             Outcome::Refused(_) => {
                 self.stats.record_waste(Waste::Incomplete, r.delivered);
-                self.limits.settle(r.flow.org, r.estimate, r.delivered);
+                self.limits.reconcile(r.flow.org, r.estimate, r.delivered);
             }
         }
         self.finish_recipient(r.recipient, outcome);
@@ -388,7 +388,7 @@
         }
         if let Some(r) = self.requests.remove(key) {
             self.stats.record_waste(Waste::CallerGone, r.delivered);
-            self.limits.settle(r.flow.org, r.estimate, r.delivered);
+            self.limits.reconcile(r.flow.org, r.estimate, r.delivered);
         }
         self.dispatch_queued(now, group);
     }
