--- a/core/src/idempotency.rs
+++ b/core/src/idempotency.rs
@@ -19,12 +19,12 @@
 use crate::time::Time;
 
 /// Length of an epoch. A key is good for one to two epochs.
-pub const EPOCH: Span = Span::secs(600);
+pub const EPOCH_LENGTH: Span = Span::secs(600);
 /// Most keys remembered.
 pub const MAX_KEYS: usize = 100_000;
 /// Most bytes of answers remembered.
-pub const MAX_BYTES: usize = 64 << 20;
-const MAX_SUFFIX: usize = 128;
+pub const MAX_ANSWER_BYTES: usize = 64 << 20;
+const MAX_SUFFIX_BYTES: usize = 128;
 const MAX_WAITERS: usize = 16;
 
 /// What an `Idempotency-Key` begins with.
@@ -51,7 +51,7 @@
         let (name, incarnation) = home.rsplit_once('.')?;
         u64::from_str_radix(incarnation, 16).ok()?;
         let epoch = u32::from_str_radix(epoch, 16).ok()?;
-        let fits = !name.is_empty() && !suffix.is_empty() && suffix.len() <= MAX_SUFFIX;
+        let fits = !name.is_empty() && !suffix.is_empty() && suffix.len() <= MAX_SUFFIX_BYTES;
         fits.then(|| Key { home: home.to_owned(), epoch, suffix: suffix.to_owned() })
     }
 }
@@ -113,14 +113,14 @@
 }
 
 #[derive(Debug)]
-struct Arriving {
+struct Incoming {
     parts: BTreeMap<u32, Vec<Finished>>,
     began: Time,
 }
 
 /// What to do with a submission that has a key.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Begin {
+pub enum Admission {
     /// Run it; the table waits for its end.
     Run,
     /// The same submission is in progress; the waiter was added.
@@ -136,12 +136,12 @@
 pub struct Table {
     own: String,
     homes: BTreeMap<String, Home>,
-    arriving: BTreeMap<String, Arriving>,
+    incoming: BTreeMap<String, Incoming>,
     bytes: usize,
     frozen: bool,
 }
 
-fn weight(outcome: &Outcome) -> usize {
+fn answer_bytes(outcome: &Outcome) -> usize {
     match outcome {
         Outcome::Whole { text, .. } => text.len(),
         Outcome::Refused(_) => 0,
@@ -153,7 +153,7 @@
     pub fn new(own: String, now: Time) -> Table {
         let home = Home { epoch: 1, began: now, last: None, keys: BTreeMap::new() };
         let homes = BTreeMap::from([(own.clone(), home)]);
-        Table { own, homes, arriving: BTreeMap::new(), bytes: 0, frozen: false }
+        Table { own, homes, incoming: BTreeMap::new(), bytes: 0, frozen: false }
     }
 
     /// Whether this router runs keys of `home`.
@@ -177,49 +177,49 @@
     }
 
     /// Keys in progress.
-    pub fn running(&self) -> usize {
+    pub fn running_count(&self) -> usize {
         let all = self.homes.values().flat_map(|h| h.keys.values());
         all.filter(|e| matches!(e, Entry::Running { .. })).count()
     }
 
     /// Looks a submission up and, if it may run, notes that it does.
-    pub fn begin(&mut self, key: &Key, digest: [u8; 32], waiter: Waiter) -> Begin {
-        let full = self.len() >= MAX_KEYS || self.bytes >= MAX_BYTES;
+    pub fn begin(&mut self, key: &Key, digest: [u8; 32], waiter: Waiter) -> Admission {
+        let full = self.len() >= MAX_KEYS || self.bytes >= MAX_ANSWER_BYTES;
         let Some(home) = self.homes.get_mut(&key.home) else {
-            return Begin::Refuse(Reason::HomeGone, false);
+            return Admission::Refuse(Reason::HomeGone, false);
         };
         let slot = (key.epoch, key.suffix.clone());
         match home.keys.get_mut(&slot) {
             Some(Entry::Running { digest: d, .. } | Entry::Done { digest: d, .. })
                 if *d != digest =>
             {
-                Begin::Refuse(Reason::KeyReused, true)
+                Admission::Refuse(Reason::KeyReused, true)
             }
-            Some(Entry::Done { outcome, .. }) => Begin::Replay(outcome.clone()),
+            Some(Entry::Done { outcome, .. }) => Admission::Replay(outcome.clone()),
             Some(Entry::Running { waiters, .. }) => {
                 if waiters.contains(&waiter) {
-                    return Begin::Join;
+                    return Admission::Join;
                 }
                 if waiters.len() >= MAX_WAITERS {
-                    return Begin::Refuse(Reason::KeyTableFull, false);
+                    return Admission::Refuse(Reason::KeyTableFull, false);
                 }
                 waiters.push(waiter);
-                Begin::Join
+                Admission::Join
             }
             None => {
                 let newest = home.last.unwrap_or(home.epoch);
                 if key.epoch > newest || key.epoch + 1 < home.epoch {
-                    return Begin::Refuse(Reason::KeyExpired, false);
+                    return Admission::Refuse(Reason::KeyExpired, false);
                 }
                 if self.frozen {
-                    return Begin::Refuse(Reason::NotServing, true);
+                    return Admission::Refuse(Reason::NotServing, true);
                 }
                 if full {
-                    return Begin::Refuse(Reason::KeyTableFull, true);
+                    return Admission::Refuse(Reason::KeyTableFull, true);
                 }
                 let waiters = vec![waiter];
                 home.keys.insert(slot, Entry::Running { digest, waiters });
-                Begin::Run
+                Admission::Run
             }
         }
     }
@@ -240,7 +240,7 @@
             Outcome::Refused(r) if r.verdict == crate::action::Verdict::NotRun
         );
         if ran {
-            self.bytes += weight(outcome);
+            self.bytes += answer_bytes(outcome);
             home.keys.insert(slot, Entry::Done { digest, outcome: outcome.clone() });
         }
         waiters
@@ -251,14 +251,14 @@
         let before = self.epoch();
         let mut freed = 0;
         for home in self.homes.values_mut() {
-            while now.since(home.began) >= EPOCH {
-                home.began = home.began + EPOCH;
+            while now.since(home.began) >= EPOCH_LENGTH {
+                home.began = home.began + EPOCH_LENGTH;
                 home.epoch += 1;
                 let epoch = home.epoch;
                 home.keys.retain(|(e, _), entry| {
                     let keep = e + 1 >= epoch || matches!(entry, Entry::Running { .. });
                     if let (false, Entry::Done { outcome, .. }) = (keep, &*entry) {
-                        freed += weight(outcome);
+                        freed += answer_bytes(outcome);
                     }
                     keep
                 });
@@ -270,7 +270,7 @@
             let spent = home.last.is_some_and(|last| home.epoch > last + 1);
             *name == own || !spent || !home.keys.is_empty()
         });
-        self.arriving.retain(|_, a| now.since(a.began) < EPOCH);
+        self.incoming.retain(|_, a| now.since(a.began) < EPOCH_LENGTH);
         self.epoch() != before
     }
 
@@ -295,7 +295,7 @@
                     continue;
                 };
                 let (suffix, outcome) = (suffix.clone(), outcome.clone());
-                size += weight(&outcome) + suffix.len() + 64;
+                size += answer_bytes(&outcome) + suffix.len() + 64;
                 if size > most {
                     parts.push(Vec::new());
                     size = 0;
@@ -326,15 +326,15 @@
         if self.homes.contains_key(&part.home) {
             return true;
         }
-        let arriving = self
-            .arriving
+        let incoming = self
+            .incoming
             .entry(part.home.clone())
-            .or_insert_with(|| Arriving { parts: BTreeMap::new(), began: now });
-        arriving.parts.insert(part.part, part.keys);
-        if (arriving.parts.len() as u64) < u64::from(part.parts) {
+            .or_insert_with(|| Incoming { parts: BTreeMap::new(), began: now });
+        incoming.parts.insert(part.part, part.keys);
+        if (incoming.parts.len() as u64) < u64::from(part.parts) {
             return false;
         }
-        let Some(arrived) = self.arriving.remove(&part.home) else {
+        let Some(arrived) = self.incoming.remove(&part.home) else {
             return false;
         };
         let mut home = Home {
@@ -344,7 +344,7 @@
             keys: BTreeMap::new(),
         };
         for finished in arrived.parts.into_values().flatten() {
-            self.bytes += weight(&finished.outcome);
+            self.bytes += answer_bytes(&finished.outcome);
             let Finished { epoch, suffix, digest, outcome } = finished;
             home.keys.insert((epoch, suffix), Entry::Done { digest, outcome });
         }
--- a/core/src/node/keyed.rs
+++ b/core/src/node/keyed.rs
@@ -14,7 +14,7 @@
 use crate::event::Submission;
 use crate::event::Target;
 use crate::idempotency;
-use crate::idempotency::Begin;
+use crate::idempotency::Admission;
 use crate::idempotency::Key;
 use crate::idempotency::Waiter;
 use crate::peer::Message;
@@ -73,13 +73,13 @@
         let org = self.index.organisation(org).name.clone();
         let digest = idempotency::digest(&org, &target, &submission.body);
         match self.table.begin(&key, digest, waiter.clone()) {
-            Begin::Run => self.admit_or_refuse(now, Recipient::Key(key), submission),
-            Begin::Join => {}
-            Begin::Replay(outcome) => self.answer_waiter(waiter, outcome),
-            Begin::Refuse(reason, true) => {
+            Admission::Run => self.admit_or_refuse(now, Recipient::Key(key), submission),
+            Admission::Join => {}
+            Admission::Replay(outcome) => self.answer_waiter(waiter, outcome),
+            Admission::Refuse(reason, true) => {
                 self.answer_waiter(waiter, not_run(reason, RETRY_AFTER));
             }
-            Begin::Refuse(reason, false) => {
+            Admission::Refuse(reason, false) => {
                 let outcome = refusal(Verdict::OutcomeUnknown, reason, RETRY_AFTER);
                 self.answer_waiter(waiter, outcome);
             }
--- a/core/tests/table.rs
+++ b/core/tests/table.rs
@@ -5,7 +5,7 @@
 use laburnumwheel_core::action::Reason;
 use laburnumwheel_core::event::RequestId;
 use laburnumwheel_core::idempotency;
-use laburnumwheel_core::idempotency::Begin;
+use laburnumwheel_core::idempotency::Admission;
 use laburnumwheel_core::idempotency::Key;
 use laburnumwheel_core::idempotency::Table;
 use laburnumwheel_core::idempotency::Waiter;
@@ -27,7 +27,7 @@
     let mut table = Table::new("r1.1".to_owned(), Time(0));
     for i in 0..keys {
         let key = key("r1.1", &i.to_string());
-        assert_eq!(table.begin(&key, [0; 32], waiter()), Begin::Run);
+        assert_eq!(table.begin(&key, [0; 32], waiter()), Admission::Run);
         table.finish(&key, &answer(&"x".repeat(1_000)));
     }
     table
@@ -53,7 +53,7 @@
     assert!(complete && successor.owns("r1.1"));
     for i in 0..20 {
         let begin = successor.begin(&key("r1.1", &i.to_string()), [0; 32], waiter());
-        assert!(matches!(begin, Begin::Replay(_)), "{i}: {begin:?}");
+        assert!(matches!(begin, Admission::Replay(_)), "{i}: {begin:?}");
     }
 }
 
@@ -70,8 +70,8 @@
     let new = table.begin(&key("r1.1", "new"), [0; 32], waiter());
 
     // Assert
-    assert_eq!(old, Begin::Replay(answer(&"x".repeat(1_000))));
-    assert_eq!(new, Begin::Refuse(Reason::NotServing, true));
+    assert_eq!(old, Admission::Replay(answer(&"x".repeat(1_000))));
+    assert_eq!(new, Admission::Refuse(Reason::NotServing, true));
 }
 
 /// Callers fill the table. New keys are refused as not run; none that is remembered is given up.
@@ -88,6 +88,6 @@
     let first = table.begin(&key("r1.1", "0"), [0; 32], waiter());
 
     // Assert
-    assert_eq!(refused, Begin::Refuse(Reason::KeyTableFull, true));
-    assert_eq!(first, Begin::Join);
+    assert_eq!(refused, Admission::Refuse(Reason::KeyTableFull, true));
+    assert_eq!(first, Admission::Join);
 }
--- a/replay/tests/keys.rs
+++ b/replay/tests/keys.rs
@@ -193,7 +193,7 @@
     cluster.run(Span::secs(1));
 
     // Act
-    cluster.run(Span(idempotency::EPOCH.0 * 2));
+    cluster.run(Span(idempotency::EPOCH_LENGTH.0 * 2));
     let late = cluster.submit(0, &key, "bid 1");
     let unseen = cluster.submit(1, &format!("{}bid-2", key.trim_end_matches("bid-1")), "bid 2");
     cluster.run(Span::secs(1));
