--- a/core/src/node/orders.rs
+++ b/core/src/node/orders.rs
@@ -13,8 +13,8 @@
 use crate::config::GroupKey;
 use crate::event::KvReply;
 use crate::event::OrderResult;
-use crate::order::DELAY;
 use crate::order::Lease;
+use crate::order::MAX_ORDER_DELAY;
 use crate::order::Step;
 use crate::order::Value;
 use crate::rendezvous;
@@ -96,7 +96,7 @@
             return;
         };
         let key = format!("{LEASE_PREFIX}{name}");
-        match orders.lease.step(now, &home, checks) {
+        match orders.lease.next_step(now, &home, checks) {
             Step::Wait => {}
             Step::Read => self.get(&key),
             Step::Write(revision, value) => {
@@ -118,7 +118,7 @@
             return;
         };
         orders.given.retain(|_, at| now.since(*at) < SHOWS);
-        let Some(fence) = orders.lease.fence(now) else {
+        let Some(fence) = orders.lease.fencing_token(now) else {
             return;
         };
         for (upstream, address) in behind {
@@ -149,7 +149,7 @@
                     orders.lease = Lease::default();
                     orders.given.remove(name);
                 }
-                OrderResult::Unknown => *at = now - (Span(SHOWS.0 - DELAY.0)),
+                OrderResult::Unknown => *at = now - (Span(SHOWS.0 - MAX_ORDER_DELAY.0)),
             }
         }
     }
@@ -168,10 +168,10 @@
                 let found = value.and_then(|(v, revision)| {
                     Some((serde_json::from_slice::<Value>(&v).ok()?, revision))
                 });
-                orders.lease.read(now, &home, found);
+                orders.lease.on_read(now, &home, found);
             }
-            KvReply::Swapped(revision) => orders.lease.written(now, revision),
-            KvReply::Unavailable => orders.lease.lost(),
+            KvReply::Swapped(revision) => orders.lease.on_write_reply(now, revision),
+            KvReply::Unavailable => orders.lease.on_unavailable(),
         }
     }
 }
--- a/core/src/order.rs
+++ b/core/src/order.rs
@@ -17,13 +17,13 @@
 use crate::time::Time;
 
 /// A holder renews after this long.
-pub const RENEW: Span = Span::secs(3);
+pub const RENEWAL_INTERVAL: Span = Span::secs(3);
 /// A holder gives no order this long after it sent its last renewal.
-pub const HOLD: Span = Span::secs(8);
+pub const LEASE_VALIDITY: Span = Span::secs(8);
 /// A lease whose revision has not changed for this long has lapsed.
-pub const LAPSE: Span = Span::secs(15);
+pub const LEASE_EXPIRY: Span = Span::secs(15);
 /// Longest time that an order may be on its way; the sender gives it up after that.
-pub const DELAY: Span = Span::secs(5);
+pub const MAX_ORDER_DELAY: Span = Span::secs(5);
 
 /// The stored value of a lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -69,22 +69,22 @@
 
 impl Lease {
     /// The fencing number under which orders may be given at `now`, if any may.
-    pub fn fence(&self, now: Time) -> Option<i64> {
-        self.held.filter(|h| now.since(h.since) < HOLD).map(|h| h.revision)
+    pub fn fencing_token(&self, now: Time) -> Option<i64> {
+        self.held.filter(|h| now.since(h.since) < LEASE_VALIDITY).map(|h| h.revision)
     }
 
     /// What a router that wants to give orders does next.
-    pub fn step(&mut self, now: Time, holder: &str, checks_fencing: bool) -> Step {
-        if self.sent.is_some_and(|s| now.since(s.at) < RENEW) {
+    pub fn next_step(&mut self, now: Time, holder: &str, checks_fencing: bool) -> Step {
+        if self.sent.is_some_and(|s| now.since(s.at) < RENEWAL_INTERVAL) {
             return Step::Wait;
         }
-        if self.fence(now).is_some()
+        if self.fencing_token(now).is_some()
             && let Some(held) = self.held
         {
-            let due = now.since(held.since) >= RENEW;
+            let due = now.since(held.since) >= RENEWAL_INTERVAL;
             return if due { self.write(now, holder, held.revision) } else { Step::Wait };
         }
-        let patience = if checks_fencing { LAPSE } else { LAPSE + DELAY };
+        let patience = if checks_fencing { LEASE_EXPIRY } else { LEASE_EXPIRY + MAX_ORDER_DELAY };
         match self.seen {
             Some((0, _)) => self.write(now, holder, 0),
             Some((revision, since)) if now.since(since) >= patience => {
@@ -102,7 +102,7 @@
 
     /// Takes a read in. After a lost reply it shows whether this router's write took effect; the
     /// lease then counts from when that write was sent, not from when it was found.
-    pub fn read(&mut self, now: Time, holder: &str, found: Option<(Value, i64)>) {
+    pub fn on_read(&mut self, now: Time, holder: &str, found: Option<(Value, i64)>) {
         let revision = found.as_ref().map_or(0, |(_, r)| *r);
         if self.seen.is_none_or(|(r, _)| r != revision) {
             self.seen = Some((revision, now));
@@ -117,12 +117,12 @@
     }
 
     /// Notes that a call was not answered: a write may have taken effect, which a read will show.
-    pub fn lost(&mut self) {
+    pub fn on_unavailable(&mut self) {
         self.seen = None;
     }
 
     /// Takes the reply to a write in.
-    pub fn written(&mut self, now: Time, revision: Option<i64>) {
+    pub fn on_write_reply(&mut self, now: Time, revision: Option<i64>) {
         let Some(sent) = self.sent.take() else {
             return;
         };
--- a/core/tests/lease.rs
+++ b/core/tests/lease.rs
@@ -1,7 +1,7 @@
 //! The lease of orderers: two never hold it at once, and a new holder waits out late orders.
 
-use laburnumwheel_core::order::DELAY;
 use laburnumwheel_core::order::Lease;
+use laburnumwheel_core::order::MAX_ORDER_DELAY;
 use laburnumwheel_core::order::Step;
 use laburnumwheel_core::order::Value;
 use laburnumwheel_core::time::Span;
@@ -28,15 +28,15 @@
 }
 
 fn act(lease: &mut Lease, name: &str, store: &mut Store, now: Time, lose: bool, checks: bool) {
-    match lease.step(now, name, checks) {
+    match lease.next_step(now, name, checks) {
         Step::Wait => {}
-        Step::Read => lease.read(now, name, store.value.clone()),
+        Step::Read => lease.on_read(now, name, store.value.clone()),
         Step::Write(revision, value) => {
             let reply = store.swap(revision, value);
             if lose {
-                lease.lost();
+                lease.on_unavailable();
             } else {
-                lease.written(now, reply);
+                lease.on_write_reply(now, reply);
             }
         }
     }
@@ -63,14 +63,14 @@
             for _ in 0..ms / 100 {
                 now = now + Span::millis(100);
                 for (i, lease) in leases.iter().enumerate() {
-                    let Some(fence) = lease.fence(now) else {
+                    let Some(fence) = lease.fencing_token(now) else {
                         continue;
                     };
                     if let Some((holder, at, before)) = last.filter(|l| l.0 != i) {
                         prop_assert!(at < now, "{holder} and {i} hold it at {now}");
                         prop_assert!(fence > before);
                         let gap = now.since(at);
-                        prop_assert!(checks || gap >= DELAY, "{gap} after {holder}");
+                        prop_assert!(checks || gap >= MAX_ORDER_DELAY, "{gap} after {holder}");
                     }
                     last = Some((i, now, fence));
                 }
@@ -88,11 +88,11 @@
     for _ in 0..2 {
         act(&mut gone, "a", &mut store, now, false, false);
     }
-    assert!(gone.fence(now).is_some());
+    assert!(gone.fencing_token(now).is_some());
 
     // Act
     let mut took = 0;
-    while next.fence(now).is_none() && took < 60 {
+    while next.fencing_token(now).is_none() && took < 60 {
         act(&mut next, "b", &mut store, now, false, false);
         now = now + Span::secs(1);
         took += 1;
--- a/replay/tests/orders.rs
+++ b/replay/tests/orders.rs
@@ -91,7 +91,7 @@
                 cluster.orders.last().map(|o| o.1)
             })
             .expect("an order");
-        let late = if checks { Span::secs(60) } else { order::DELAY };
+        let late = if checks { Span::secs(60) } else { order::MAX_ORDER_DELAY };
         cluster.order_delay.insert(old, late);
         cluster.net.store.publish(3, &config("v2b", checks));
         run(&mut cluster, 4);
--- a/router/src/upstream.rs
+++ b/router/src/upstream.rs
@@ -22,7 +22,7 @@
 use laburnumwheel_core::event::Failure;
 use laburnumwheel_core::event::OrderResult;
 use laburnumwheel_core::event::Target;
-use laburnumwheel_core::order::DELAY;
+use laburnumwheel_core::order::MAX_ORDER_DELAY;
 use serde::Deserialize;
 use serde_json::json;
 
@@ -110,7 +110,7 @@
     /// The whole call is given up after the time that the core counts on: a new holder of the
     /// lease waits as long before it orders an upstream that ignores fencing numbers.
     pub async fn send_order(self, order: Order, handle: Handle) {
-        let limit = Duration::from_micros(DELAY.0);
+        let limit = Duration::from_micros(MAX_ORDER_DELAY.0);
         let result = tokio::time::timeout(limit, self.post_order(&order)).await;
         let result = result.unwrap_or(OrderResult::Unknown);
         handle.send(Event::Ordered(order.upstream, result)).await;
