--- a/core/src/node/control.rs
+++ b/core/src/node/control.rs
@@ -92,7 +92,7 @@
         if due(&mut self.control.slow, now, SLOW_CHECK) {
             self.tick_slow(now);
         }
-        if !self.sync.missing().is_empty() && due(&mut self.control.ask, now, ASK_AGAIN) {
+        if !self.sync.missing_shards().is_empty() && due(&mut self.control.ask, now, ASK_AGAIN) {
             self.ask_shards(None);
         }
     }
@@ -138,7 +138,7 @@
     /// older configuration back.
     fn may_serve(&self) -> bool {
         let version = self.sync.root().version;
-        if version == 0 || self.sync.newest() > version {
+        if version == 0 || self.sync.newest_version() > version {
             return false;
         }
         let heard = &self.control.versions_heard;
--- a/core/src/node/peers.rs
+++ b/core/src/node/peers.rs
@@ -82,13 +82,13 @@
             }
             Message::Demand(demand) => self.on_demand(now, from, demand),
             Message::AskRoot { have } => {
-                let change = self.sync.change_for(have);
+                let change = self.sync.change_since(have);
                 self.reply(from, Message::Root(change));
             }
             Message::Root(change) => self.on_root(now, from, &change),
             Message::AskShards(hashes) => self.on_ask_shards(from, &hashes),
             Message::Shard(content) => {
-                self.sync.shard(content);
+                self.sync.add_shard(content);
                 self.step_sync(now);
             }
             Message::Forward { request, submission } => {
--- a/core/src/node/service.rs
+++ b/core/src/node/service.rs
@@ -16,7 +16,7 @@
 use crate::member::Record;
 use crate::member::State;
 use crate::peer::Message;
-use crate::sync::HOSTS_KEY;
+use crate::sync::LEAVING_HOSTS_KEY;
 use crate::sync::ROOT_KEY;
 use crate::sync::ROSTER_KEY;
 use crate::sync::SHARD_PREFIX;
@@ -61,7 +61,7 @@
         }
         if now >= self.control.hosts {
             self.control.hosts = now + self.pause(HOSTS_READ);
-            self.get(HOSTS_KEY);
+            self.get(LEAVING_HOSTS_KEY);
         }
         if now >= self.control.roster {
             self.control.roster = now + self.pause(ROSTER_CHECK);
@@ -99,7 +99,7 @@
                 if let Some(root) = root
                     && self.sync.offer(root)
                 {
-                    let missing = self.sync.missing();
+                    let missing = self.sync.missing_shards();
                     for hash in missing {
                         self.get(&format!("{SHARD_PREFIX}{hash}"));
                     }
@@ -113,7 +113,7 @@
             }
             _ if key.starts_with(SHARD_PREFIX) => {
                 if let Some((content, _)) = value {
-                    self.sync.shard(content);
+                    self.sync.add_shard(content);
                     self.step_sync(now);
                 }
             }
--- a/core/src/node/versions.rs
+++ b/core/src/node/versions.rs
@@ -22,7 +22,7 @@
         if self.members.own().state == State::Joining {
             self.control.versions_heard.insert(from.to_owned(), gossip.version);
         }
-        if gossip.version > self.sync.newest() {
+        if gossip.version > self.sync.newest_version() {
             let have = self.sync.root().version;
             self.reply(from, Message::AskRoot { have });
             self.control.ask = now + ASK_AGAIN;
@@ -30,7 +30,7 @@
     }
 
     pub(super) fn on_root(&mut self, now: Time, from: &str, change: &Change) {
-        let root = self.sync.follow(change);
+        let root = self.sync.root_after(change);
         if root.is_some_and(|r| self.sync.offer(r)) {
             self.ask_shards(Some(from));
             self.step_sync(now);
@@ -39,7 +39,7 @@
 
     /// Asks a peer, or the service if there is none, for shards of the newer root.
     pub(super) fn ask_shards(&mut self, from: Option<&str>) {
-        let missing = self.sync.missing();
+        let missing = self.sync.missing_shards();
         if missing.is_empty() {
             return;
         }
@@ -56,7 +56,8 @@
     }
 
     pub(super) fn on_ask_shards(&mut self, from: &str, hashes: &[String]) {
-        let found = hashes.iter().take(MAX_SHARDS_ASKED).filter_map(|h| self.sync.get(h).cloned());
+        let found =
+            hashes.iter().take(MAX_SHARDS_ASKED).filter_map(|h| self.sync.find_shard(h).cloned());
         for content in found.collect::<Vec<_>>() {
             self.reply(from, Message::Shard(content));
         }
@@ -64,7 +65,7 @@
 
     /// Puts a newer configuration in force once it is complete, and sends the news on.
     pub(super) fn step_sync(&mut self, now: Time) {
-        match self.sync.step() {
+        match self.sync.apply_pending() {
             Step::Wait => {}
             Step::Reject(version, error) => {
                 let line = Line::new("config_rejected").with("version", version);
--- a/core/src/sync.rs
+++ b/core/src/sync.rs
@@ -21,7 +21,7 @@
 /// Key of the list of routers in the key-value service.
 pub const ROSTER_KEY: &str = "laburnumwheel/roster";
 /// Key of the platform's list of leaving hosts: a JSON array of upstream names.
-pub const HOSTS_KEY: &str = "platform/hosts/leaving";
+pub const LEAVING_HOSTS_KEY: &str = "platform/hosts/leaving";
 
 /// The configuration of one router.
 #[derive(Debug, Default)]
@@ -50,13 +50,13 @@
     }
 
     /// Newest version heard of.
-    pub fn newest(&self) -> u64 {
+    pub fn newest_version(&self) -> u64 {
         self.pending.as_ref().map_or(self.root.version, |p| p.version)
     }
 
     /// Takes a root in; `true` if it is newer than all before.
     pub fn offer(&mut self, root: Root) -> bool {
-        if root.version <= self.newest() {
+        if root.version <= self.newest_version() {
             return false;
         }
         self.pending = Some(root);
@@ -64,13 +64,13 @@
     }
 
     /// Shards of the waiting root that are not here.
-    pub fn missing(&self) -> Vec<Hash> {
+    pub fn missing_shards(&self) -> Vec<Hash> {
         let wanted = self.pending.iter().flat_map(|p| p.shards.values());
         wanted.filter(|h| !self.shards.contains_key(*h)).cloned().collect()
     }
 
     /// Takes a shard in if the waiting root names it.
-    pub fn shard(&mut self, content: Bytes) {
+    pub fn add_shard(&mut self, content: Bytes) {
         let hash = shard::hash(&content);
         let wanted = self.pending.as_ref().is_some_and(|p| p.shards.values().any(|h| *h == hash));
         if wanted {
@@ -79,8 +79,8 @@
     }
 
     /// Puts the waiting root in force if it is complete.
-    pub fn step(&mut self) -> Step {
-        if self.pending.is_none() || !self.missing().is_empty() {
+    pub fn apply_pending(&mut self) -> Step {
+        if self.pending.is_none() || !self.missing_shards().is_empty() {
             return Step::Wait;
         }
         let Some(root) = self.pending.take() else {
@@ -98,19 +98,19 @@
     }
 
     /// The way to the root in force for a router that has version `have`.
-    pub fn change_for(&self, have: u64) -> Change {
+    pub fn change_since(&self, have: u64) -> Change {
         let known = have != 0 && have == self.previous.version;
         let old = if known { self.previous.clone() } else { Root::default() };
         self.root.change_from(&old)
     }
 
     /// The root that a peer's change leads to, if it leads from here.
-    pub fn follow(&self, change: &Change) -> Option<Root> {
+    pub fn root_after(&self, change: &Change) -> Option<Root> {
         self.root.apply(change)
     }
 
     /// A shard of the version in force.
-    pub fn get(&self, hash: &str) -> Option<&Bytes> {
+    pub fn find_shard(&self, hash: &str) -> Option<&Bytes> {
         self.shards.get(hash)
     }
 }
--- a/replay/src/world.rs
+++ b/replay/src/world.rs
@@ -13,7 +13,7 @@
 use laburnumwheel_core::event::RequestId;
 use laburnumwheel_core::node::Node;
 use laburnumwheel_core::stats::Stats;
-use laburnumwheel_core::sync::HOSTS_KEY;
+use laburnumwheel_core::sync::LEAVING_HOSTS_KEY;
 use laburnumwheel_core::time::Span;
 use laburnumwheel_core::time::Time;
 use rand::SeedableRng;
@@ -311,7 +311,7 @@
             Item::Fault(number) => self.fault(self.faults[number]),
             Item::Listed(upstream) => {
                 let list = serde_json::to_vec(&[&self.names[upstream]]).unwrap_or_default();
-                self.net.store.put(HOSTS_KEY, Bytes::from(list));
+                self.net.store.put(LEAVING_HOSTS_KEY, Bytes::from(list));
             }
             Item::Restored => self.net.store.mode = net::Mode::Up,
         }
--- a/replay/tests/leaving.rs
+++ b/replay/tests/leaving.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use laburnumwheel_core::event::Event;
-use laburnumwheel_core::sync::HOSTS_KEY;
+use laburnumwheel_core::sync::LEAVING_HOSTS_KEY;
 use laburnumwheel_core::time::Span;
 use laburnumwheel_replay::net::Mode;
 
@@ -27,7 +27,7 @@
         let mut cluster = Cluster::start(9, seed);
 
         // Act
-        cluster.net.store.put(HOSTS_KEY, Bytes::from_static(b"[\"s1\"]"));
+        cluster.net.store.put(LEAVING_HOSTS_KEY, Bytes::from_static(b"[\"s1\"]"));
         let took = cluster.run_until(WITHIN, |c| !open_anywhere(c, "s1"));
 
         // Assert
