--- a/core/src/cell.rs
+++ b/core/src/cell.rs
@@ -13,7 +13,7 @@
 use crate::rendezvous;
 
 /// Up to this many routers, all serve everything.
-pub const SMALL: usize = 16;
+pub const MAX_ROUTERS_WITHOUT_CELLS: usize = 16;
 /// Least routers of a cell.
 const LEAST: usize = 12;
 /// Routers of a cell, as a multiple of its group's part of the fleet.
@@ -40,7 +40,7 @@
     /// Computes the cells of `groups` among `routers`.
     pub fn new(groups: &[Group], routers: &[&str]) -> Cells {
         let mut cells = Cells::default();
-        if routers.len() <= SMALL {
+        if routers.len() <= MAX_ROUTERS_WITHOUT_CELLS {
             return cells;
         }
         let total: f64 = groups.iter().map(|g| f64::from(g.slots)).sum();
@@ -57,12 +57,12 @@
     }
 
     /// Whether a router serves the group.
-    pub fn has(&self, group: GroupKey, router: &str) -> bool {
+    pub fn serves(&self, group: GroupKey, router: &str) -> bool {
         self.routers.get(&group).is_none_or(|cell| cell.contains(router))
     }
 
     /// Groups that a router serves; `None` if it serves all.
-    pub fn of(&self, router: &str) -> Option<BTreeSet<GroupKey>> {
+    pub fn groups_of(&self, router: &str) -> Option<BTreeSet<GroupKey>> {
         if self.routers.is_empty() {
             return None;
         }
--- a/core/src/config/shard.rs
+++ b/core/src/config/shard.rs
@@ -17,10 +17,10 @@
 use crate::rendezvous;
 
 /// Number of shards that organisations are spread over.
-pub const ORG_SHARDS: u32 = 1024;
+pub const ORG_SHARD_COUNT: u32 = 1024;
 
 /// Largest value the key-value service takes, in bytes.
-pub const MAX_VALUE: usize = 1_000_000;
+pub const MAX_VALUE_BYTES: usize = 1_000_000;
 
 /// Content hash of a shard, the first 128 bits of BLAKE3 in hexadecimal.
 pub type Hash = String;
@@ -90,8 +90,8 @@
 /// Why a configuration can't be cut into shards or put together again.
 #[derive(Debug, Error)]
 pub enum Error {
-    /// A shard is over [`MAX_VALUE`].
-    #[error("a shard of {0} bytes is over the limit of {MAX_VALUE}")]
+    /// A shard is over [`MAX_VALUE_BYTES`].
+    #[error("a shard of {0} bytes is over the limit of {MAX_VALUE_BYTES}")]
     TooLarge(usize),
     /// A shard that the root names is not there.
     #[error("shard {0} is missing")]
@@ -118,7 +118,7 @@
     let base = Config { organisations: Vec::new(), ..config.clone() };
     let mut parts: BTreeMap<u32, Vec<&Organisation>> = BTreeMap::new();
     for org in &config.organisations {
-        let place = rendezvous::hash(&[org.name.as_bytes()]) % u64::from(ORG_SHARDS);
+        let place = rendezvous::hash(&[org.name.as_bytes()]) % u64::from(ORG_SHARD_COUNT);
         parts.entry(place as u32 + 1).or_default().push(org);
     }
     let mut shards = Shards { parts: BTreeMap::new(), contents: BTreeMap::new() };
@@ -131,7 +131,7 @@
 
 impl Shards {
     fn add(&mut self, part: u32, content: Vec<u8>) -> Result<(), Error> {
-        if content.len() > MAX_VALUE {
+        if content.len() > MAX_VALUE_BYTES {
             return Err(Error::TooLarge(content.len()));
         }
         let name = hash(&content);
--- a/core/src/entry.rs
+++ b/core/src/entry.rs
@@ -44,7 +44,7 @@
     /// The router.
     pub record: &'a Record,
     /// Requests at upstreams and in queues.
-    pub wanted: u32,
+    pub demand: u32,
 }
 
 /// Orders candidates for one caller; `None` if there are none.
@@ -57,14 +57,14 @@
     failure_domain: Option<&str>,
     rng: &mut SmallRng,
 ) -> Option<Answer> {
-    let mean = candidates.iter().map(|c| f64::from(c.wanted)).sum::<f64>()
+    let mean = candidates.iter().map(|c| f64::from(c.demand)).sum::<f64>()
         / candidates.len().max(1) as f64;
     let mut drawn: Vec<(f64, &Record)> = candidates
         .iter()
         .map(|c| {
             let near = failure_domain.is_none_or(|d| d == c.record.failure_domain);
             let place = if near { 1.0 } else { FOREIGN_WEIGHT };
-            let weight = place * (mean + 1.0) / (f64::from(c.wanted) + 1.0).max(mean / 4.0);
+            let weight = place * (mean + 1.0) / (f64::from(c.demand) + 1.0).max(mean / 4.0);
             let unit: f64 = rng.random();
             (-(1.0 - unit).ln() / weight, c.record)
         })
--- a/core/src/node/control.rs
+++ b/core/src/node/control.rs
@@ -84,7 +84,7 @@
         if due(&mut self.control.share, now, SHARE_CHECK) {
             self.refresh_shares(now);
         }
-        let small = self.members.live().count() < cell::SMALL;
+        let small = self.members.live().count() < cell::MAX_ROUTERS_WITHOUT_CELLS;
         let every = if small { DEMAND_FAST } else { DEMAND_SLOW };
         if due(&mut self.control.demand, now, every) {
             self.send_demand(now, Vec::new());
@@ -176,12 +176,12 @@
         for (key, state) in &mut self.groups {
             let (cells, key) = (&self.cells, *key);
             let live = self.members.live().map(|r| r.name.as_str());
-            let names = live.filter(|name| cells.has(key, name));
+            let names = live.filter(|name| cells.serves(key, name));
             let group = &self.index.group(key).name;
             let group = (group.as_str(), state.pool.slots());
             state.demand.observe(&state.wanted());
             let own = (self.settings.name.as_str(), &state.demand.get());
-            let slice = if cells.has(key, own.0) {
+            let slice = if cells.serves(key, own.0) {
                 self.demands.slice(now, group, own, names)
             } else {
                 // Outside the cell: one slot, somewhere of its own.
--- a/core/src/node/mod.rs
+++ b/core/src/node/mod.rs
@@ -246,13 +246,13 @@
         let own_wanted = self.requests.len() as u32;
         let own = self.members.own().name.clone();
         let open = self.members.all().filter(|r| r.accepts_callers());
-        let near = |r: &&Record| group.is_none_or(|g| self.cells.has(g, &r.name));
+        let near = |r: &&Record| group.is_none_or(|g| self.cells.serves(g, &r.name));
         let candidates: Vec<entry::Candidate<'_>> = open
             .filter(near)
             .map(|record| {
                 let known = self.demands.total_demand(now, &record.name);
                 let wanted = if record.name == own { own_wanted } else { known.unwrap_or(0) };
-                entry::Candidate { record, wanted }
+                entry::Candidate { record, demand: wanted }
             })
             .collect();
         entry::answer(&candidates, failure_domain, &mut self.rng)
@@ -268,7 +268,7 @@
     /// Live routers that this one tells its demand: those of its cells, and of the cells of groups
     /// that it uses without being in them.
     fn sharing_peers(&self) -> Vec<&Record> {
-        let mut groups = self.cells.of(&self.settings.name);
+        let mut groups = self.cells.groups_of(&self.settings.name);
         if let Some(groups) = &mut groups {
             let busy = self.groups.iter().filter(|(_, g)| g.demand.get() != TierDemand::default());
             groups.extend(busy.map(|(key, _)| *key));
--- a/core/src/peer.rs
+++ b/core/src/peer.rs
@@ -15,7 +15,7 @@
 use crate::share::TierDemand;
 
 /// Version of the payload encoding in an envelope.
-pub const CODEC: u32 = 1;
+pub const CODEC_VERSION: u32 = 1;
 
 /// What rides on every probe and its answer.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
--- a/core/tests/cells.rs
+++ b/core/tests/cells.rs
@@ -2,7 +2,7 @@
 
 use laburnumwheel_core::cell::Cells;
 use laburnumwheel_core::cell::Group;
-use laburnumwheel_core::cell::SMALL;
+use laburnumwheel_core::cell::MAX_ROUTERS_WITHOUT_CELLS;
 use laburnumwheel_core::config::GroupKey;
 
 fn groups() -> Vec<Group> {
@@ -20,9 +20,9 @@
 
 #[test]
 fn a_small_fleet_has_none() {
-    let cells = cells(&names(SMALL));
-    assert!(cells.has(GroupKey(3), "router-1"));
-    assert_eq!(cells.of("router-1"), None);
+    let cells = cells(&names(MAX_ROUTERS_WITHOUT_CELLS));
+    assert!(cells.serves(GroupKey(3), "router-1"));
+    assert_eq!(cells.groups_of("router-1"), None);
 }
 
 #[test]
@@ -32,10 +32,10 @@
     let cells = cells(&routers);
 
     // Assert
-    let sizes = (0..31).map(|g| routers.iter().filter(|r| cells.has(GroupKey(g), r)).count());
+    let sizes = (0..31).map(|g| routers.iter().filter(|r| cells.serves(GroupKey(g), r)).count());
     assert!(sizes.clone().all(|n| (12..=30).contains(&n)), "{:?}", sizes.collect::<Vec<_>>());
     let sharers = routers.iter().map(|r| {
-        let groups = cells.of(r).unwrap_or_default();
+        let groups = cells.groups_of(r).unwrap_or_default();
         cells.routers(&groups).len()
     });
     let most = sharers.max().unwrap_or(0);
@@ -54,9 +54,10 @@
     let after = cells(&routers[1..]);
 
     // Assert
-    let gone = before.of(&routers[0]).unwrap_or_default();
+    let gone = before.groups_of(&routers[0]).unwrap_or_default();
     for g in (0..31).map(GroupKey) {
-        let moved = routers[1..].iter().filter(|r| before.has(g, r) != after.has(g, r)).count();
+        let moved =
+            routers[1..].iter().filter(|r| before.serves(g, r) != after.serves(g, r)).count();
         assert_eq!(moved, usize::from(gone.contains(&g)), "{g}");
     }
 }
--- a/core/tests/versions.rs
+++ b/core/tests/versions.rs
@@ -90,7 +90,7 @@
     assert_eq!(change.set.len(), 1);
     assert!(bytes < 10_000, "{bytes} bytes");
     assert_eq!(old.apply(&change), Some(new));
-    assert!(before.contents.values().all(|c| c.len() <= shard::MAX_VALUE));
+    assert!(before.contents.values().all(|c| c.len() <= shard::MAX_VALUE_BYTES));
 }
 
 /// An operator's change has taken force when a stale read of the key-value service, and then a
--- a/router/src/peer.rs
+++ b/router/src/peer.rs
@@ -6,7 +6,7 @@
 
 use laburnumwheel_core::codec;
 use laburnumwheel_core::event::Event;
-use laburnumwheel_core::peer::CODEC;
+use laburnumwheel_core::peer::CODEC_VERSION;
 use laburnumwheel_core::peer::Message;
 use laburnumwheel_proto::peer::Envelope;
 use laburnumwheel_proto::peer::Receipt;
@@ -75,7 +75,7 @@
             return;
         };
         let envelope = Envelope {
-            codec: CODEC,
+            codec: CODEC_VERSION,
             from: self.name.clone(),
             incarnation: self.incarnation,
             payload,
@@ -130,7 +130,7 @@
             return Err(Status::unauthenticated("not a peer"));
         }
         let envelope = request.into_inner();
-        if envelope.codec != CODEC {
+        if envelope.codec != CODEC_VERSION {
             return Err(Status::invalid_argument("unknown codec version"));
         }
         let message = codec::decode_message(&envelope.payload)
--- a/router/tests/path.rs
+++ b/router/tests/path.rs
@@ -131,7 +131,7 @@
     let url = format!("http://{}/admin/drain", routers[0].operators);
     let peers = format!("http://{}", routers[0].peers);
     let envelope = laburnumwheel_proto::peer::Envelope {
-        codec: laburnumwheel_core::peer::CODEC,
+        codec: laburnumwheel_core::peer::CODEC_VERSION,
         from: "r1".to_owned(),
         incarnation: u64::MAX,
         payload: Vec::new(),
