--- a/core/src/node/service.rs
+++ b/core/src/node/service.rs
@@ -107,7 +107,7 @@
                 }
             }
             ROSTER_KEY => self.on_roster(now, value),
-            HOSTS_KEY => {
+            LEAVING_HOSTS_KEY => {
                 let list = value.and_then(|(v, _)| serde_json::from_slice::<Vec<String>>(&v).ok());
                 self.on_hosts(now, &list.unwrap_or_default());
             }
