--- a/core/tests/guards.rs
+++ b/core/tests/guards.rs
@@ -8,7 +8,7 @@
 use laburnumwheel_core::event::Event;
 use laburnumwheel_core::time::Span;
 
-use support::Bench;
+use support::Harness;
 
 const TWO_TIERS: &str = r#"
 [[class]]
@@ -41,14 +41,14 @@
 #[test]
 fn the_end_of_another_calls_answer_ends_nothing() {
     // Arrange
-    let mut bench = Bench::start();
-    let (_, actions) = bench.submit(Bench::submission("draft", "o"));
+    let mut harness = Harness::new();
+    let (_, actions) = harness.submit(Harness::submission("draft", "o"));
     let attempt = support::dispatch(&actions).attempt;
-    bench.frame(attempt, 0);
+    harness.frame(attempt, 0);
 
     // Act
     let echo = AttemptId(attempt.0 + 1_000);
-    let actions = bench.give(Event::Ended { attempt, echo, status: 200 });
+    let actions = harness.handle(Event::Ended { attempt, echo, status: 200 });
 
     // Assert
     assert!(!matches!(support::finish(&actions), Some(Outcome::Whole { .. })));
@@ -63,23 +63,23 @@
     let text = TWO_TIERS.to_owned()
         + &support::upstream("e1", "models", 1)
         + &support::organisation("o", "");
-    let mut bench = Bench::with(&text);
+    let mut harness = Harness::with_config(&text);
     let mut checks = Vec::new();
     for _ in 0..6 {
-        let (_, actions) = bench.submit(Bench::submission("check", "o"));
+        let (_, actions) = harness.submit(Harness::submission("check", "o"));
         checks.extend(support::dispatches(&actions).iter().map(|d| d.attempt));
     }
     for attempt in &checks {
-        bench.frame(*attempt, 0);
+        harness.frame(*attempt, 0);
     }
 
     // Act
-    let (_, mut actions) = bench.submit(Bench::submission("vip", "o"));
+    let (_, mut actions) = harness.submit(Harness::submission("vip", "o"));
     for offset in 1..10 {
         for attempt in &checks {
-            bench.frame(*attempt, offset);
+            harness.frame(*attempt, offset);
         }
-        actions.extend(bench.run(Span::millis(100)));
+        actions.extend(harness.advance(Span::millis(100)));
     }
 
     // Assert
@@ -93,13 +93,13 @@
 #[test]
 fn a_silent_call_that_may_run_once_is_waited_for() {
     // Arrange
-    let mut bench = Bench::start();
-    let (_, actions) = bench.submit(Bench::bid());
+    let mut harness = Harness::new();
+    let (_, actions) = harness.submit(Harness::bid());
     let attempt = support::dispatch(&actions).attempt;
 
     // Act
-    let meanwhile = bench.run(Span::secs(12));
-    let end = support::finish(&bench.end(attempt));
+    let meanwhile = harness.advance(Span::secs(12));
+    let end = support::finish(&harness.end(attempt));
 
     // Assert
     assert!(support::dispatches(&meanwhile).is_empty());
--- a/core/tests/queueing.rs
+++ b/core/tests/queueing.rs
@@ -12,19 +12,19 @@
 use laburnumwheel_core::event::RequestId;
 use laburnumwheel_core::time::Span;
 
-use support::Bench;
+use support::Harness;
 
 /// A site with one engine of two slots and organisations `big` and `small`.
-fn narrow(more: &str) -> Bench {
+fn narrow(more: &str) -> Harness {
     let text = support::CLASSES.to_owned()
         + &support::upstream("e1", "models", 1)
         + &support::organisation("big", more)
         + &support::organisation("small", "");
-    Bench::with(&text)
+    Harness::with_config(&text)
 }
 
 /// Ends attempts in the order they were sent, for so many rounds; returns all requests sent.
-fn serve(bench: &mut Bench, actions: Vec<Action>, rounds: usize) -> Vec<RequestId> {
+fn serve(harness: &mut Harness, actions: Vec<Action>, rounds: usize) -> Vec<RequestId> {
     let mut running = support::dispatches(&actions);
     let mut order: Vec<RequestId> = running.iter().map(|d| d.request).collect();
     for _ in 0..rounds {
@@ -32,8 +32,8 @@
             break;
         }
         let attempt = running.remove(0).attempt;
-        bench.frame(attempt, 0);
-        let actions = bench.end(attempt);
+        harness.frame(attempt, 0);
+        let actions = harness.end(attempt);
         let more = support::dispatches(&actions);
         order.extend(more.iter().map(|d| d.request));
         running.extend(more);
@@ -46,16 +46,16 @@
 #[test]
 fn a_large_organisation_does_not_crowd_out_a_small_one() {
     // Arrange
-    let mut bench = narrow("");
+    let mut harness = narrow("");
     let mut actions = Vec::new();
     for _ in 0..60 {
-        actions.extend(bench.submit(Bench::submission("bulk", "big")).1);
+        actions.extend(harness.submit(Harness::submission("bulk", "big")).1);
     }
     let small: Vec<RequestId> =
-        (0..3).map(|_| bench.submit(Bench::submission("bulk", "small")).0).collect();
+        (0..3).map(|_| harness.submit(Harness::submission("bulk", "small")).0).collect();
 
     // Act
-    let order = serve(&mut bench, actions, 30);
+    let order = serve(&mut harness, actions, 30);
 
     // Assert
     let places = small.iter().map(|id| order.iter().position(|o| o == id));
@@ -66,17 +66,17 @@
 #[test]
 fn the_lowest_class_is_not_starved() {
     // Arrange
-    let mut bench = narrow("");
+    let mut harness = narrow("");
     let mut actions = Vec::new();
-    let (draft, first) = bench.submit(Bench::submission("bulk", "small"));
+    let (draft, first) = harness.submit(Harness::submission("bulk", "small"));
     actions.extend(first);
     for _ in 0..300 {
-        actions.extend(bench.submit(Bench::submission("urgent", "big")).1);
+        actions.extend(harness.submit(Harness::submission("urgent", "big")).1);
     }
-    let (late, _) = bench.submit(Bench::submission("bulk", "small"));
+    let (late, _) = harness.submit(Harness::submission("bulk", "small"));
 
     // Act
-    let order = serve(&mut bench, actions, 200);
+    let order = serve(&mut harness, actions, 200);
 
     // Assert
     assert!(order.contains(&draft));
@@ -87,13 +87,13 @@
 #[test]
 fn a_request_past_its_patience_is_refused_as_not_run() {
     // Arrange
-    let mut bench = narrow("");
+    let mut harness = narrow("");
     for _ in 0..8 {
-        bench.submit(Bench::submission("draft", "big"));
+        harness.submit(Harness::submission("draft", "big"));
     }
 
     // Act
-    let actions = bench.run(Span::secs(3));
+    let actions = harness.advance(Span::secs(3));
 
     // Assert
     let refused = actions.iter().filter_map(|a| match a {
@@ -110,22 +110,22 @@
 #[test]
 fn an_urgent_request_takes_a_draft_s_place() {
     // Arrange
-    let mut bench = narrow("");
+    let mut harness = narrow("");
     let mut running = Vec::new();
     for _ in 0..4 {
-        running.extend(support::dispatches(&bench.submit(Bench::submission("draft", "big")).1));
+        running.extend(support::dispatches(&harness.submit(Harness::submission("draft", "big")).1));
     }
     for d in &running {
-        bench.frame(d.attempt, 0);
+        harness.frame(d.attempt, 0);
     }
     // Answers take their time: that is what an urgent request would have to wait for.
-    bench.run(Span::millis(400));
+    harness.advance(Span::millis(400));
     let first = running.remove(0);
-    bench.end(first.attempt);
+    harness.end(first.attempt);
 
     // Act
-    let mut actions = bench.run(Span::millis(100));
-    let (urgent, more) = bench.submit(Bench::submission("urgent", "small"));
+    let mut actions = harness.advance(Span::millis(100));
+    let (urgent, more) = harness.submit(Harness::submission("urgent", "small"));
     actions.extend(more);
 
     // Assert
@@ -138,21 +138,21 @@
 #[test]
 fn a_limit_holds() {
     // Arrange
-    let mut bench = narrow("requests_per_second = 10");
+    let mut harness = narrow("requests_per_second = 10");
     let mut taken = 0;
     let mut refused = BTreeMap::new();
 
     // Act
     for _ in 0..200 {
-        let (_, actions) = bench.submit(Bench::submission("urgent", "big"));
+        let (_, actions) = harness.submit(Harness::submission("urgent", "big"));
         match support::finish(&actions) {
             Some(Outcome::Refused(r)) => *refused.entry(r.reason).or_insert(0) += 1,
             _ => taken += 1,
         }
         for d in support::dispatches(&actions) {
-            bench.end(d.attempt);
+            harness.end(d.attempt);
         }
-        bench.run(Span::millis(50));
+        harness.advance(Span::millis(50));
     }
 
     // Assert
@@ -165,21 +165,21 @@
 #[test]
 fn a_prefix_known_in_another_group_draws_nothing_there() {
     // Arrange
-    let mut bench = Bench::start();
+    let mut harness = Harness::new();
     let cache = Event::Cache {
         upstream: "s1".to_owned(),
         sequence: 1,
         added: vec![7],
         evicted: Vec::new(),
     };
-    bench.give(cache);
+    harness.handle(cache);
 
     // Act
     let mut actions = Vec::new();
     for _ in 0..4 {
-        let submission = Bench::submission("urgent", "o");
+        let submission = Harness::submission("urgent", "o");
         let submission = laburnumwheel_core::event::Submission { prefix: vec![7], ..submission };
-        actions.extend(bench.submit(submission).1);
+        actions.extend(harness.submit(submission).1);
     }
 
     // Assert
--- a/core/tests/streams.rs
+++ b/core/tests/streams.rs
@@ -10,7 +10,7 @@
 use laburnumwheel_core::event::Failure;
 use laburnumwheel_core::time::Span;
 
-use support::Bench;
+use support::Harness;
 
 fn refused(outcome: Option<Outcome>) -> Option<(Verdict, Reason)> {
     match outcome? {
@@ -24,17 +24,17 @@
 #[test]
 fn a_broken_stream_goes_on_elsewhere_from_its_offset() {
     // Arrange
-    let mut bench = Bench::start();
-    let (_, actions) = bench.submit(Bench::submission("draft", "o"));
+    let mut harness = Harness::new();
+    let (_, actions) = harness.submit(Harness::submission("draft", "o"));
     let first = support::dispatch(&actions);
-    let mut text = support::delivered(&bench.frame(first.attempt, 0));
-    text += &support::delivered(&bench.frame(first.attempt, 1));
+    let mut text = support::delivered(&harness.frame(first.attempt, 0));
+    text += &support::delivered(&harness.frame(first.attempt, 1));
 
     // Act
-    let actions = bench.give(Event::Failed(first.attempt, Failure::Broken));
+    let actions = harness.handle(Event::Failed(first.attempt, Failure::Broken));
     let second = support::dispatch(&actions);
-    text += &support::delivered(&bench.frame(second.attempt, 2));
-    let end = support::finish(&bench.end(second.attempt));
+    text += &support::delivered(&harness.frame(second.attempt, 2));
+    let end = support::finish(&harness.end(second.attempt));
 
     // Assert
     assert_ne!(second.upstream, first.upstream);
@@ -47,17 +47,17 @@
 #[test]
 fn duplicate_and_late_frames_reach_nobody() {
     // Arrange
-    let mut bench = Bench::start();
-    let (_, actions) = bench.submit(Bench::submission("draft", "o"));
+    let mut harness = Harness::new();
+    let (_, actions) = harness.submit(Harness::submission("draft", "o"));
     let first = support::dispatch(&actions).attempt;
-    bench.frame(first, 0);
+    harness.frame(first, 0);
 
     // Act
-    let twice = support::delivered(&bench.frame(first, 0));
-    let actions = bench.give(Event::Failed(first, Failure::Broken));
+    let twice = support::delivered(&harness.frame(first, 0));
+    let actions = harness.handle(Event::Failed(first, Failure::Broken));
     let second = support::dispatch(&actions).attempt;
-    let late = support::delivered(&bench.frame(first, 1));
-    let next = support::delivered(&bench.frame(second, 1));
+    let late = support::delivered(&harness.frame(first, 1));
+    let next = support::delivered(&harness.frame(second, 1));
 
     // Assert
     assert_eq!((twice.as_str(), late.as_str(), next.as_str()), ("", "", "1 "));
@@ -68,19 +68,19 @@
 #[test]
 fn a_crossed_stream_is_a_failure_not_an_answer() {
     // Arrange
-    let mut bench = Bench::start();
-    let (_, actions) = bench.submit(Bench::submission("draft", "o"));
+    let mut harness = Harness::new();
+    let (_, actions) = harness.submit(Harness::submission("draft", "o"));
     let attempt = support::dispatch(&actions).attempt;
 
     // Act
     let echo = AttemptId(attempt.0 + 1);
     let text = bytes::Bytes::from_static(b"foreign");
-    let actions = bench.give(Event::Frame { attempt, echo, offset: 0, tokens: 1, text });
+    let actions = harness.handle(Event::Frame { attempt, echo, offset: 0, tokens: 1, text });
 
     // Assert
     assert_eq!(support::delivered(&actions), "");
     assert_eq!(support::dispatches(&actions).len(), 1);
-    assert_eq!(bench.node.stats().misattributed, 1);
+    assert_eq!(harness.node.stats().misattributed, 1);
 }
 
 /// A chunk is missing in the middle. Nothing behind the gap is delivered; the stream goes on
@@ -88,13 +88,13 @@
 #[test]
 fn a_gap_is_never_delivered_over() {
     // Arrange
-    let mut bench = Bench::start();
-    let (_, actions) = bench.submit(Bench::submission("draft", "o"));
+    let mut harness = Harness::new();
+    let (_, actions) = harness.submit(Harness::submission("draft", "o"));
     let attempt = support::dispatch(&actions).attempt;
-    bench.frame(attempt, 0);
+    harness.frame(attempt, 0);
 
     // Act
-    let actions = bench.frame(attempt, 2);
+    let actions = harness.frame(attempt, 2);
 
     // Assert
     assert_eq!(support::delivered(&actions), "");
@@ -106,15 +106,15 @@
 #[test]
 fn a_call_that_may_run_once_is_not_repeated() {
     // Arrange
-    let mut bench = Bench::start();
-    let (_, actions) = bench.submit(Bench::bid());
+    let mut harness = Harness::new();
+    let (_, actions) = harness.submit(Harness::bid());
     let sent = support::dispatch(&actions).attempt;
 
     // Act
-    let actions = bench.give(Event::Failed(sent, Failure::Broken));
-    let (_, unsent) = bench.submit(Bench::bid());
+    let actions = harness.handle(Event::Failed(sent, Failure::Broken));
+    let (_, unsent) = harness.submit(Harness::bid());
     let attempt = support::dispatch(&unsent).attempt;
-    let again = bench.give(Event::Failed(attempt, Failure::Connect));
+    let again = harness.handle(Event::Failed(attempt, Failure::Connect));
 
     // Assert
     assert_eq!(support::dispatches(&actions), Vec::new());
@@ -128,12 +128,12 @@
 #[test]
 fn a_refusal_proves_nothing_unless_declared() {
     // Arrange
-    let mut bench = Bench::start();
-    let (_, actions) = bench.submit(Bench::bid());
+    let mut harness = Harness::new();
+    let (_, actions) = harness.submit(Harness::bid());
     let attempt = support::dispatch(&actions).attempt;
 
     // Act
-    let actions = bench.give(Event::Failed(attempt, Failure::Refused));
+    let actions = harness.handle(Event::Failed(attempt, Failure::Refused));
 
     // Assert
     let expected = Some((Verdict::OutcomeUnknown, Reason::UpstreamFailed));
@@ -149,14 +149,14 @@
         + &support::upstream("s1", "bids", 3)
         + &support::upstream("s2", "bids", 4)
         + &support::organisation("o", "");
-    let mut bench = Bench::with(&text);
-    let (_, actions) = bench.submit(Bench::bid());
+    let mut harness = Harness::with_config(&text);
+    let (_, actions) = harness.submit(Harness::bid());
     let first = support::dispatch(&actions);
 
     // Act
-    let actions = bench.give(Event::Failed(first.attempt, Failure::Leaving));
+    let actions = harness.handle(Event::Failed(first.attempt, Failure::Leaving));
     let second = support::dispatch(&actions);
-    let end = support::finish(&bench.end(second.attempt));
+    let end = support::finish(&harness.end(second.attempt));
 
     // Assert
     assert_ne!(second.upstream, first.upstream);
@@ -167,16 +167,16 @@
 #[test]
 fn work_for_a_caller_that_has_gone_stops() {
     // Arrange
-    let mut bench = Bench::start();
-    let (id, actions) = bench.submit(Bench::submission("draft", "o"));
+    let mut harness = Harness::new();
+    let (id, actions) = harness.submit(Harness::submission("draft", "o"));
     let attempt = support::dispatch(&actions).attempt;
 
     // Act
-    let actions = bench.give(Event::CallerGone(id));
+    let actions = harness.handle(Event::CallerGone(id));
 
     // Assert
     assert_eq!(actions, vec![laburnumwheel_core::action::Action::Cancel(attempt)]);
-    assert_eq!(bench.node.in_progress(), 0);
+    assert_eq!(harness.node.in_progress(), 0);
 }
 
 /// An engine says that it is leaving when it refuses a request. It gets no further request, and
@@ -184,17 +184,17 @@
 #[test]
 fn a_leaving_engine_gets_nothing_new() {
     // Arrange
-    let mut bench = Bench::start();
-    let (_, actions) = bench.submit(Bench::submission("draft", "o"));
+    let mut harness = Harness::new();
+    let (_, actions) = harness.submit(Harness::submission("draft", "o"));
     let first = support::dispatch(&actions);
 
     // Act
-    let mut all = bench.give(Event::Failed(first.attempt, Failure::Leaving));
+    let mut all = harness.handle(Event::Failed(first.attempt, Failure::Leaving));
     for _ in 0..3 {
-        all.extend(bench.submit(Bench::submission("urgent", "o")).1);
+        all.extend(harness.submit(Harness::submission("urgent", "o")).1);
     }
-    all.extend(bench.give(Event::Hosts { leaving: Vec::new() }));
-    all.extend(bench.submit(Bench::submission("urgent", "o")).1);
+    all.extend(harness.handle(Event::Hosts { leaving: Vec::new() }));
+    all.extend(harness.submit(Harness::submission("urgent", "o")).1);
 
     // Assert
     let sent = support::dispatches(&all);
@@ -207,14 +207,14 @@
 #[test]
 fn a_silent_engine_is_given_up() {
     // Arrange
-    let mut bench = Bench::start();
-    let (_, actions) = bench.submit(Bench::submission("urgent", "o"));
+    let mut harness = Harness::new();
+    let (_, actions) = harness.submit(Harness::submission("urgent", "o"));
     let first = support::dispatch(&actions);
 
     // Act
-    let actions = bench.run(Span::secs(2));
+    let actions = harness.advance(Span::secs(2));
 
     // Assert
     assert_ne!(support::dispatch(&actions).upstream, first.upstream);
-    assert_eq!(bench.node.stats().stalls, 1);
+    assert_eq!(harness.node.stats().stalls, 1);
 }
--- a/core/tests/support/mod.rs
+++ b/core/tests/support/mod.rs
@@ -87,31 +87,31 @@
     }
 }
 
-pub struct Bench {
+pub struct Harness {
     pub node: Node,
     pub now: Time,
     pub version: u64,
     next: u64,
 }
 
-impl Bench {
+impl Harness {
     /// A serving node with two engines `e1`, `e2`, one service replica, and organisation `o`.
-    pub fn start() -> Bench {
+    pub fn new() -> Harness {
         let text = CLASSES.to_owned()
             + &upstream("e1", "models", 1)
             + &upstream("e2", "models", 2)
             + &upstream("s1", "bids", 3)
             + &organisation("o", "");
-        Bench::with(&text)
+        Harness::with_config(&text)
     }
 
-    pub fn with(text: &str) -> Bench {
+    pub fn with_config(text: &str) -> Harness {
         let now = Time(1_000_000);
-        let mut bench = Bench { node: Node::new(settings("r"), now), now, version: 0, next: 1 };
-        bench.publish(text);
-        bench.run(Span::secs(2));
-        assert!(bench.node.is_serving());
-        bench
+        let mut harness = Harness { node: Node::new(settings("r"), now), now, version: 0, next: 1 };
+        harness.publish(text);
+        harness.advance(Span::secs(2));
+        assert!(harness.node.is_serving());
+        harness
     }
 
     /// Has the node read a newer configuration.
@@ -120,29 +120,29 @@
         let shards = shard::split(&parse(text)).expect("it fits");
         let operation = format!("op-{}", self.version);
         let root = Root { version: self.version, operation, shards: shards.parts };
-        self.read(ROOT_KEY, serde_json::to_vec(&root).expect("a root").into());
+        self.reply_to_read(ROOT_KEY, serde_json::to_vec(&root).expect("a root").into());
         for (hash, content) in shards.contents {
-            self.read(&format!("{SHARD_PREFIX}{hash}"), content);
+            self.reply_to_read(&format!("{SHARD_PREFIX}{hash}"), content);
         }
         assert_eq!(self.node.config_version(), self.version);
     }
 
-    pub fn read(&mut self, key: &str, value: Bytes) -> Vec<Action> {
+    pub fn reply_to_read(&mut self, key: &str, value: Bytes) -> Vec<Action> {
         let call = KvCall::Get { key: key.to_owned() };
-        self.give(Event::Kv(call, KvReply::Value(Some((value, 1)))))
+        self.handle(Event::Kv(call, KvReply::Value(Some((value, 1)))))
     }
 
-    pub fn give(&mut self, event: Event) -> Vec<Action> {
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
         self.node.handle(self.now, event)
     }
 
     /// Lets time pass; returns everything the node did.
-    pub fn run(&mut self, span: Span) -> Vec<Action> {
+    pub fn advance(&mut self, span: Span) -> Vec<Action> {
         let until = self.now + span;
         let mut actions = Vec::new();
         while self.now < until {
             self.now = self.now + TICK;
-            actions.extend(self.give(Event::Tick));
+            actions.extend(self.handle(Event::Tick));
         }
         actions
     }
@@ -168,22 +168,27 @@
             method: "POST".to_owned(),
             path: "/".to_owned(),
         };
-        Submission { target, stream: false, idempotent: false, ..Bench::submission("urgent", "o") }
+        Submission {
+            target,
+            stream: false,
+            idempotent: false,
+            ..Harness::submission("urgent", "o")
+        }
     }
 
     pub fn submit(&mut self, submission: Submission) -> (RequestId, Vec<Action>) {
         let id = RequestId(self.next);
         self.next += 1;
-        (id, self.give(Event::Request(id, Box::new(submission))))
+        (id, self.handle(Event::Request(id, Box::new(submission))))
     }
 
     pub fn frame(&mut self, attempt: AttemptId, offset: u32) -> Vec<Action> {
         let text = Bytes::from(format!("{offset} "));
-        self.give(Event::Frame { attempt, echo: attempt, offset, tokens: 1, text })
+        self.handle(Event::Frame { attempt, echo: attempt, offset, tokens: 1, text })
     }
 
     pub fn end(&mut self, attempt: AttemptId) -> Vec<Action> {
-        self.give(Event::Ended { attempt, echo: attempt, status: 200 })
+        self.handle(Event::Ended { attempt, echo: attempt, status: 200 })
     }
 }
 
--- a/core/tests/versions.rs
+++ b/core/tests/versions.rs
@@ -12,7 +12,7 @@
 use laburnumwheel_core::sync::SHARD_PREFIX;
 use proptest::prelude::*;
 
-use support::Bench;
+use support::Harness;
 
 fn source(name: &str, text: &str) -> Source {
     Source { name: name.to_owned(), text: text.to_owned() }
@@ -98,29 +98,29 @@
 #[test]
 fn a_version_never_goes_back() {
     // Arrange
-    let mut bench = Bench::start();
+    let mut harness = Harness::new();
     let old = shard::split(&support::parse(support::CLASSES)).expect("it fits");
     let newer = support::CLASSES.replace("tier = 4", "tier = 5");
-    bench.publish(&newer);
+    harness.publish(&newer);
     let stale = Root { version: 1, operation: "op-1".to_owned(), shards: old.parts.clone() };
 
     // Act
-    bench.read(ROOT_KEY, serde_json::to_vec(&stale).expect("a root").into());
+    harness.reply_to_read(ROOT_KEY, serde_json::to_vec(&stale).expect("a root").into());
     for (hash, content) in &old.contents {
-        bench.read(&format!("{SHARD_PREFIX}{hash}"), content.clone());
+        harness.reply_to_read(&format!("{SHARD_PREFIX}{hash}"), content.clone());
     }
     let change = stale.change_from(&Root::default());
     let message = Message::Root(change);
-    bench.give(Event::Peer { from: "r2".to_owned(), incarnation: 1, message });
+    harness.handle(Event::Peer { from: "r2".to_owned(), incarnation: 1, message });
     for content in old.contents.into_values() {
         let message = Message::Shard(content);
-        bench.give(Event::Peer { from: "r2".to_owned(), incarnation: 1, message });
+        harness.handle(Event::Peer { from: "r2".to_owned(), incarnation: 1, message });
     }
 
     // Assert
-    let class = bench.node.index().class_named("draft").expect("it is there");
-    assert_eq!(bench.node.config_version(), 2);
-    assert_eq!(bench.node.index().class(class).tier, 5);
+    let class = harness.node.index().class_named("draft").expect("it is there");
+    assert_eq!(harness.node.config_version(), 2);
+    assert_eq!(harness.node.index().class(class).tier, 5);
 }
 
 /// A request is queued when its class is removed and another takes its place in the file. It ends
@@ -128,16 +128,16 @@
 #[test]
 fn requests_in_progress_keep_their_rules() {
     // Arrange
-    let mut bench = Bench::start();
-    let (_, actions) = bench.submit(Bench::submission("draft", "o"));
+    let mut harness = Harness::new();
+    let (_, actions) = harness.submit(Harness::submission("draft", "o"));
     let attempt = support::dispatch(&actions).attempt;
     let changed = support::CLASSES.replace("\"draft\"", "\"sketch\"");
     let organisation = support::organisation("o", "").replace("draft", "sketch");
 
     // Act
-    bench.publish(&(changed + &support::upstream("e1", "models", 1) + &organisation));
-    bench.frame(attempt, 0);
-    let end = support::finish(&bench.end(attempt));
+    harness.publish(&(changed + &support::upstream("e1", "models", 1) + &organisation));
+    harness.frame(attempt, 0);
+    let end = support::finish(&harness.end(attempt));
 
     // Assert
     assert!(matches!(end, Some(laburnumwheel_core::action::Outcome::Whole { .. })));
@@ -154,10 +154,10 @@
     #[test]
     fn no_bytes_make_the_decoders_panic(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
         let _ = laburnumwheel_core::codec::decode_message(&bytes);
-        let mut bench = Bench::start();
-        let _ = laburnumwheel_core::codec::drive(&mut bench.node, &bytes);
-        bench.read(ROOT_KEY, bytes.clone().into());
-        bench.read(laburnumwheel_core::sync::ROSTER_KEY, bytes.into());
-        assert_eq!(bench.node.config_version(), 1);
+        let mut harness = Harness::new();
+        let _ = laburnumwheel_core::codec::drive(&mut harness.node, &bytes);
+        harness.reply_to_read(ROOT_KEY, bytes.clone().into());
+        harness.reply_to_read(laburnumwheel_core::sync::ROSTER_KEY, bytes.into());
+        assert_eq!(harness.node.config_version(), 1);
     }
 }
