--- a/core/src/node/attempt.rs
+++ b/core/src/node/attempt.rs
@@ -1,4 +1,8 @@
-//! What comes back from upstreams.
+//! Handles frames, ends and failures of attempts.
+//!
+//! A failed request is retried at another upstream if it cannot have run or is idempotent, within
+//! the retry budget; otherwise it ends with a refusal that states whether it may have run. A stream
+//! resumes behind the tokens that were already delivered, so that no token is delivered twice.
 
 use bytes::Bytes;
 
@@ -16,13 +20,18 @@
 use crate::time::Span;
 use crate::time::Time;
 
-const MAX_TRIES: u32 = 4;
+/// Upper bound on failed attempts of one request.
+const MAX_ATTEMPTS: u32 = 4;
+/// Time after which callers should retry a failed request.
 const RETRY_AFTER: Span = Span::secs(1);
-const SERVER_ERROR: u16 = 500;
+/// Lowest HTTP status of a server error.
+const MIN_SERVER_ERROR: u16 = 500;
 
-/// Part of an answer as it came.
+/// Part of an answer as received.
 pub(super) struct Frame {
+    /// Attempt that the upstream names.
     pub(super) echo: AttemptId,
+    /// Number of tokens of the answer before the frame.
     pub(super) offset: u32,
     pub(super) tokens: u32,
     pub(super) text: Bytes,
@@ -31,12 +40,12 @@
 impl Node {
     pub(super) fn on_frame(&mut self, now: Time, attempt: AttemptId, frame: Frame) {
         let Some(key) = self.attempts.get(&attempt).copied() else {
-            // A frame of an attempt that is over: it must not reach a later attempt's caller.
+            // The attempt has ended, so its frame must not reach the caller.
             self.stats.record_waste(Waste::Late, frame.tokens);
             return;
         };
         if frame.echo != attempt {
-            // The upstream crossed two streams; nothing of this one can be trusted from here on.
+            // The upstream mixed up two streams: no later frame of this one can be trusted.
             self.on_failed(now, attempt, Failure::Misattributed);
             return;
         }
@@ -50,7 +59,7 @@
         a.last_frame = now;
         let first = !std::mem::replace(&mut a.answered, true);
         if frame.offset < r.delivered {
-            // A duplicate frame, or a resumed engine that began again too early.
+            // A duplicate, or an engine that resumed the stream at too low an offset.
             self.stats.record_waste(Waste::Late, frame.tokens);
             return;
         }
@@ -85,7 +94,7 @@
             return;
         };
         let kind = self.index.group(r.group).kind;
-        if kind == Kind::Engine && status >= SERVER_ERROR {
+        if kind == Kind::Engine && status >= MIN_SERVER_ERROR {
             r.parts.clear();
             self.on_failed(now, attempt, Failure::Broken);
             return;
@@ -115,12 +124,12 @@
             return;
         };
         let group = r.group;
-        let safe_refusal = self.index.group(group).safe_refusals;
-        // Only then did nothing reach an upstream that may act on it.
+        let refusal_is_safe = self.index.group(group).safe_refusals;
+        // Whether it is certain that the upstream did not act on the request.
         let not_run = match failure {
-            // Saying that it is leaving, an upstream promises that it did not begin.
+            // By answering that it is leaving, an upstream guarantees that it ran nothing.
             Failure::Connect | Failure::Leaving => true,
-            Failure::Refused => safe_refusal,
+            Failure::Refused => refusal_is_safe,
             Failure::Broken | Failure::Misattributed => false,
         };
         if failure == Failure::Misattributed {
@@ -141,21 +150,23 @@
         self.dispatch_queued(now, group);
     }
 
-    /// Sends a request to the queue again if that is allowed, or ends it truthfully.
+    /// Queues a failed request again if a retry is allowed, or ends it.
     fn retry_or_end(&mut self, now: Time, key: Key<Request>, not_run: bool) {
         let Some(r) = self.requests.get(key) else {
             return;
         };
         let class = self.index.class(r.flow.class);
-        // Having been stopped for a higher tier is no failure.
+        // Preempted attempts are not failures.
         let failures = r.attempt_count.saturating_sub(r.preemptions);
-        let allowed = (not_run || r.is_idempotent()) && failures < MAX_TRIES;
+        let allowed = (not_run || r.is_idempotent()) && failures < MAX_ATTEMPTS;
         let deadline = (r.arrived + class.patience).max(now + class.first_token);
-        // Going on with a stream saves what it has; only work done again counts as added load.
-        let again = r.delivered == 0;
+        // Resuming a stream keeps the tokens that were delivered; only retries from the start add
+        // load and are charged to the budget.
+        let from_start = r.delivered == 0;
         let state = self.groups.get_mut(&r.group);
-        let budget = !again || (allowed && state.is_some_and(|s| s.budget.try_withdraw()));
-        if allowed && budget && !self.stopping.is_done() {
+        let within_budget =
+            !from_start || (allowed && state.is_some_and(|s| s.budget.try_withdraw()));
+        if allowed && within_budget && !self.stopping.is_done() {
             self.stats.retries += 1;
             self.enqueue(key, deadline);
             return;
@@ -164,7 +175,7 @@
         self.finish(now, key, outcome);
     }
 
-    /// Counts a failure against an upstream.
+    /// Records a failure of an upstream, and ejects the upstream after too many.
     fn record_failure(&mut self, now: Time, key: Key<crate::upstream::Upstream>, failure: Failure) {
         let Some(up) = self.upstreams.get_mut(key) else {
             return;
@@ -192,21 +203,21 @@
         }
     }
 
-    /// Gives up attempts that have been silent for too long.
+    /// Fails attempts without a frame for longer than their timeout.
     ///
-    /// An open connection can go silent for good while new ones work, and an engine can hang with
-    /// its socket open. Neither ends the stream, so only time shows it.
+    /// A connection can stay open without carrying any more data while new ones work, and an engine
+    /// can hang with its socket open. Neither ends the stream, so only a timeout detects it.
     pub(super) fn fail_stalled(&mut self, now: Time) {
         if !self.control.stalls_due(now) {
             return;
         }
-        let running = self.attempts.iter().filter_map(|(id, key)| {
+        let stalled = self.attempts.iter().filter_map(|(id, key)| {
             let r = self.requests.get(*key)?;
             let a = r.attempt.as_ref()?;
             (now.since(a.last_frame) >= self.silence_timeout(r, a)).then_some(*id)
         });
-        let silent: Vec<AttemptId> = running.collect();
-        for id in silent {
+        let stalled: Vec<AttemptId> = stalled.collect();
+        for id in stalled {
             self.stats.stalls += 1;
             self.on_failed(now, id, Failure::Broken);
         }
--- a/core/src/node/control.rs
+++ b/core/src/node/control.rs
@@ -1,5 +1,7 @@
-//! What a router does again and again besides serving: its schedule, joining, and the shares it has
-//! of each group.
+//! Periodic work of a router: joining the members, exchanging demand, and updating its shares.
+//!
+//! Each task has the time at which it is next due in [`Schedule`]. A joining router serves callers
+//! once it knows that no newer configuration was accepted before its start.
 
 use std::collections::BTreeMap;
 
@@ -13,19 +15,24 @@
 use crate::time::Span;
 use crate::time::Time;
 
-/// Pause between asking seeds while joining.
-pub(super) const JOIN_RETRY: Span = Span::secs(1);
-const STALL_CHECK: Span = Span::millis(50);
-const SHARE_CHECK: Span = Span::millis(50);
-const SLOW_CHECK: Span = Span::secs(1);
-const DEMAND_FAST: Span = Span::millis(250);
-const DEMAND_SLOW: Span = Span::secs(2);
-/// A peer's shard request is sent again after this long.
-pub(super) const ASK_AGAIN: Span = Span::secs(1);
-/// Without the key-value service, a router starts once this many peers told their version.
-const PEERS_TO_START: usize = 3;
+/// Interval at which a joining router asks the seeds for members.
+pub(super) const JOIN_INTERVAL: Span = Span::secs(1);
+/// Interval at which attempts are checked for their timeouts.
+const STALL_CHECK_INTERVAL: Span = Span::millis(50);
+/// Interval at which the shares are recomputed.
+const SHARE_INTERVAL: Span = Span::millis(50);
+/// Interval of the less urgent tasks; see [`Node::tick_slow`].
+const SLOW_INTERVAL: Span = Span::secs(1);
+/// Intervals at which demand is sent to peers, with few and with many routers.
+const DEMAND_INTERVAL_FEW: Span = Span::millis(250);
+const DEMAND_INTERVAL_MANY: Span = Span::secs(2);
+/// Time after which missing shards are requested again.
+pub(super) const SHARD_RETRY: Span = Span::secs(1);
+/// Number of peers whose configuration versions must be known before a router serves callers
+/// without having read the key-value service.
+const MIN_PEERS_TO_SERVE: usize = 3;
 
-/// When each recurring piece of work is next due.
+/// Times at which the periodic tasks are next due, and state of the start.
 #[derive(Debug)]
 pub(super) struct Schedule {
     pub(super) root: Time,
@@ -37,11 +44,14 @@
     pub(super) slow: Time,
     pub(super) demand: Time,
     pub(super) ask: Time,
+    /// Whether the root was read from the key-value service.
     pub(super) root_read: bool,
+    /// Whether the key-value service was unavailable since the last read of the root.
     pub(super) kv_failed: bool,
-    pub(super) versions_heard: BTreeMap<String, u64>,
-    /// Changes of members and configuration version that the cells were computed for.
-    pub(super) cells_of: (u64, u64),
+    /// Configuration versions gossiped by peers while joining, by router name.
+    pub(super) received_versions: BTreeMap<String, u64>,
+    /// Number of member changes and configuration version for which the cells were computed.
+    pub(super) cells_inputs: (u64, u64),
 }
 
 impl Schedule {
@@ -58,16 +68,17 @@
             ask: now,
             root_read: false,
             kv_failed: false,
-            versions_heard: BTreeMap::new(),
-            cells_of: (0, 0),
+            received_versions: BTreeMap::new(),
+            cells_inputs: (0, 0),
         }
     }
 
     pub(super) fn stalls_due(&mut self, now: Time) -> bool {
-        due(&mut self.stalls, now, STALL_CHECK)
+        due(&mut self.stalls, now, STALL_CHECK_INTERVAL)
     }
 }
 
+/// Whether a task is due; if so, schedules it again after `every`.
 fn due(at: &mut Time, now: Time, every: Span) -> bool {
     if now < *at {
         return false;
@@ -81,22 +92,23 @@
         self.members.tick(now, &mut self.rng, &mut self.out);
         self.tick_join(now);
         self.tick_key_value(now);
-        if due(&mut self.control.share, now, SHARE_CHECK) {
+        if due(&mut self.control.share, now, SHARE_INTERVAL) {
             self.refresh_shares(now);
         }
         let small = self.members.live().count() < cell::MAX_ROUTERS_WITHOUT_CELLS;
-        let every = if small { DEMAND_FAST } else { DEMAND_SLOW };
+        let every = if small { DEMAND_INTERVAL_FEW } else { DEMAND_INTERVAL_MANY };
         if due(&mut self.control.demand, now, every) {
             self.send_demand(now, Vec::new());
         }
-        if due(&mut self.control.slow, now, SLOW_CHECK) {
+        if due(&mut self.control.slow, now, SLOW_INTERVAL) {
             self.tick_slow(now);
         }
-        if !self.sync.missing_shards().is_empty() && due(&mut self.control.ask, now, ASK_AGAIN) {
+        if !self.sync.missing_shards().is_empty() && due(&mut self.control.ask, now, SHARD_RETRY) {
             self.ask_shards(None);
         }
     }
 
+    /// Runs the tasks that are due every [`SLOW_INTERVAL`].
     fn tick_slow(&mut self, now: Time) {
         self.adapt_headroom(now);
         self.demands.prune(now);
@@ -111,12 +123,13 @@
         }
     }
 
-    /// Asks for members until one answers, then serves once the configuration is known.
+    /// Asks the seeds for members until one answers, and starts to serve callers once the
+    /// configuration is known to be current.
     fn tick_join(&mut self, now: Time) {
         if self.members.own().state != State::Joining || now < self.control.join {
             return;
         }
-        self.control.join = now + JOIN_RETRY;
+        self.control.join = now + JOIN_INTERVAL;
         let alone = self.members.live().next().is_none();
         if alone {
             let record = self.members.own().clone();
@@ -130,33 +143,33 @@
         }
     }
 
-    /// Whether the configuration in force is at least as new as anything accepted before the
-    /// start, as far as that can be known.
+    /// Whether the active configuration is at least as new as any that was accepted before the
+    /// start, as far as can be known.
     ///
-    /// A restarted router remembers nothing. A read of the root settles the question; in an
-    /// outage the newest of several peers' versions has to do, or a stale one would bring an
-    /// older configuration back.
+    /// A restarted router has no stored state. A read of the root answers the question. During an
+    /// outage of the key-value service the newest version of several peers is used instead, because
+    /// a single stale peer could bring back an older configuration.
     fn may_serve(&self) -> bool {
         let version = self.sync.root().version;
         if version == 0 || self.sync.newest_version() > version {
             return false;
         }
-        let heard = &self.control.versions_heard;
-        let current = heard.values().all(|v| *v <= version);
-        let wanted = PEERS_TO_START.min(self.members.live().count()).max(1);
-        let by_peers = heard.len() >= wanted;
+        let versions = &self.control.received_versions;
+        let current = versions.values().all(|v| *v <= version);
+        let required = MIN_PEERS_TO_SERVE.min(self.members.live().count()).max(1);
+        let by_peers = versions.len() >= required;
         let read = self.control.root_read;
-        let without = self.control.kv_failed || !self.settings.key_value;
-        current && (read || (without && by_peers))
+        let without_store = self.control.kv_failed || !self.settings.key_value;
+        current && (read || (without_store && by_peers))
     }
 
     /// Recomputes the cells after a change of members or configuration.
     fn refresh_cells(&mut self) {
-        let stamp = (self.members.changes(), self.config_version());
-        if self.control.cells_of == stamp {
+        let inputs = (self.members.changes(), self.config_version());
+        if self.control.cells_inputs == inputs {
             return;
         }
-        self.control.cells_of = stamp;
+        self.control.cells_inputs = inputs;
         let groups = self.groups.iter().map(|(key, state)| {
             let rules = self.index.group(*key);
             let members = state.pool.members.iter().filter_map(|k| self.upstreams.get(*k));
@@ -169,7 +182,8 @@
         self.cells = Cells::new(&groups, &routers);
     }
 
-    /// Recomputes what the others want, for budgets and limits.
+    /// Recomputes this router's slices of the groups from the demand of all routers, and the number
+    /// of routers for the limits.
     pub(super) fn refresh_shares(&mut self, now: Time) {
         self.refresh_cells();
         self.routers = self.count_routers(now);
@@ -184,7 +198,7 @@
             let slice = if cells.serves(key, own.0) {
                 self.demands.slice(now, group, own, names)
             } else {
-                // Outside the cell: one slot, somewhere of its own.
+                // A router outside the cell gets one slot, at a position by the hash of its name.
                 let hash = rendezvous::hash(&[own.0.as_bytes(), group.0.as_bytes()]);
                 let start = hash as f64 / u64::MAX as f64;
                 Slice { start, end: start }
--- a/core/src/node/mod.rs
+++ b/core/src/node/mod.rs
@@ -1,4 +1,8 @@
-//! One router's decisions: events in, actions out.
+//! State machine of one router: takes events and returns actions.
+//!
+//! [`Node`] owns the queues, the replicas, the requests in progress and the view of the other
+//! routers; the submodules handle its events and periodic tasks. It does no I/O and reads no
+//! clock, so that the same settings and events always give the same actions.
 
 mod attempt;
 mod control;
@@ -53,15 +57,15 @@
 use crate::upstream::Pool;
 use crate::upstream::Upstream;
 
-/// The driver gives [`Event::Tick`] this often.
+/// Interval at which the driver passes [`Event::Tick`].
 pub const TICK: Span = Span::millis(10);
 
-/// What a process learns from its flags and environment.
+/// Settings of the process, from its flags and environment.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Name, unique among the routers.
     pub name: String,
-    /// Number of this run; higher than that of any earlier run under the same name.
+    /// Number of this run, higher than that of any earlier run with the same name.
     pub incarnation: u64,
     /// Failure domain of the host.
     pub failure_domain: String,
@@ -69,11 +73,11 @@
     pub caller_address: String,
     /// Address for peers.
     pub peer_address: String,
-    /// Peer addresses to ask for members at the start.
+    /// Peer addresses that are asked for the members at the start.
     pub seeds: Vec<String>,
     /// Seed of all random choices.
     pub seed: u64,
-    /// The key-value service is there to be called.
+    /// Whether the key-value service may be called.
     pub key_value: bool,
 }
 
@@ -83,16 +87,17 @@
     queue: Queue,
     pool: Pool,
     budget: Budget,
+    /// Factor by which this router's slots are overcommitted.
     headroom: f64,
-    /// Attempts in progress, by tier.
+    /// Number of attempts in progress, by tier.
     running: TierDemand,
-    /// Attempts that may give way to a higher tier, by their tier.
+    /// Attempts that may be preempted, with their tiers.
     preemptible: BTreeSet<(u8, AttemptId)>,
-    /// No slot was free for the head of the queue, and nothing has changed since.
+    /// Whether no slot was free for the first queued request and none was freed since.
     blocked: bool,
-    /// Demand as slices follow it.
+    /// Smoothed demand, from which slices are computed.
     demand: SmoothedDemand,
-    /// Mean time of an attempt, in seconds.
+    /// Mean duration of an attempt, in seconds.
     mean_attempt_s: f64,
 }
 
@@ -112,7 +117,7 @@
     }
 }
 
-/// One router without its sockets and timers.
+/// State of one router, without its sockets and timers.
 #[derive(Debug)]
 pub struct Node {
     settings: Settings,
@@ -132,6 +137,7 @@
     demands: Demands,
     cells: Cells,
     routers: Routers,
+    /// Highest tier number of the protected classes.
     lowest_protected_tier: Option<u8>,
     table: Table,
     forwards: BTreeMap<RequestId, Forward>,
@@ -140,11 +146,12 @@
     control: control::Schedule,
     stopping: stop::Phase,
     stats: Stats,
+    /// Actions that the current event has caused so far.
     out: Vec<Action>,
 }
 
 impl Node {
-    /// A router that has just started, at `now`.
+    /// A router that starts at `now`.
     pub fn new(settings: Settings, now: Time) -> Node {
         let record = Record {
             name: settings.name.clone(),
@@ -188,7 +195,7 @@
         }
     }
 
-    /// Takes one event in and returns what is to be done, in order.
+    /// Handles one event and returns the resulting actions in order.
     pub fn handle(&mut self, now: Time, event: Event) -> Vec<Action> {
         match event {
             Event::Tick => self.tick(now),
@@ -234,7 +241,7 @@
         self.out.push(Action::Send { address, message });
     }
 
-    /// The answer to `GET /v1/entry` for a caller in `failure_domain` that will use `model`.
+    /// Answers `GET /v1/entry` for a caller in `failure_domain` that will use `model`.
     pub fn entry(
         &mut self,
         now: Time,
@@ -246,12 +253,12 @@
         let own_wanted = self.requests.len() as u32;
         let own = self.members.own().name.clone();
         let open = self.members.all().filter(|r| r.accepts_callers());
-        let near = |r: &&Record| group.is_none_or(|g| self.cells.serves(g, &r.name));
+        let serves_group = |r: &&Record| group.is_none_or(|g| self.cells.serves(g, &r.name));
         let candidates: Vec<entry::Candidate<'_>> = open
-            .filter(near)
+            .filter(serves_group)
             .map(|record| {
-                let known = self.demands.total_demand(now, &record.name);
-                let wanted = if record.name == own { own_wanted } else { known.unwrap_or(0) };
+                let reported = self.demands.total_demand(now, &record.name);
+                let wanted = if record.name == own { own_wanted } else { reported.unwrap_or(0) };
                 entry::Candidate { record, demand: wanted }
             })
             .collect();
@@ -265,8 +272,8 @@
         busy.filter(|(_, w)| *w != TierDemand::default()).collect()
     }
 
-    /// Live routers that this one tells its demand: those of its cells, and of the cells of groups
-    /// that it uses without being in them.
+    /// Live routers that receive this router's demand: those in its cells, and in the cells of
+    /// groups that it uses without being a member.
     fn sharing_peers(&self) -> Vec<&Record> {
         let mut groups = self.cells.groups_of(&self.settings.name);
         if let Some(groups) = &mut groups {
@@ -278,28 +285,29 @@
         self.members.live().filter(shares).collect()
     }
 
+    /// Number of routers that share this router's groups, and how many of them sent their demand.
     fn count_routers(&self, now: Time) -> Routers {
         let sharing_peers = self.sharing_peers();
         let names = sharing_peers.iter().map(|r| r.name.as_str());
         Routers { live: sharing_peers.len() + 1, reporting: self.demands.fresh_count(now, names) }
     }
 
-    /// Configuration in force.
+    /// The active configuration.
     pub fn index(&self) -> &Index {
         &self.index
     }
 
-    /// Version of the configuration in force; 0 before the first.
+    /// Version of the active configuration; 0 before the first.
     pub fn config_version(&self) -> u64 {
         self.sync.root().version
     }
 
-    /// Members as this router sees them, itself first.
+    /// Members known to this router, itself first.
     pub fn members(&self) -> impl Iterator<Item = &Record> {
         self.members.all()
     }
 
-    /// Replicas as this router sees them.
+    /// Replicas known to this router.
     pub fn upstreams(&self) -> impl Iterator<Item = &Upstream> {
         self.upstreams.iter().map(|(_, u)| u)
     }
@@ -309,17 +317,17 @@
         &self.stats
     }
 
-    /// Queued requests of a class, over all groups.
+    /// Number of queued requests of a class, over all groups.
     pub fn queued(&self, class: ClassKey) -> usize {
         self.groups.values().map(|g| g.queue.class_len(class)).sum()
     }
 
-    /// Whether callers may be sent here.
+    /// Whether callers may be directed to this router.
     pub fn is_serving(&self) -> bool {
         self.members.own().state == State::Serving
     }
 
-    /// Requests that are queued or at upstreams.
+    /// Number of requests that are queued or at upstreams.
     pub fn in_progress(&self) -> usize {
         self.requests.len()
     }
--- a/core/src/node/service.rs
+++ b/core/src/node/service.rs
@@ -1,13 +1,14 @@
-//! The key-value service: what is read from it, how rarely, and the roster kept in it.
+//! Reads the root, host list and roster from the key-value service, and maintains the roster.
 //!
-//! Reads are random and rare: each router reads with a mean pause that grows with the number of
-//! live routers, so the fleet's rate is the same at any size, and no router is special.
+//! Each router reads at random times with a mean pause proportional to the number of live routers,
+//! so that the read rate of all routers together does not depend on their number. No router has a
+//! special role.
 
 use bytes::Bytes;
 use rand::Rng;
 
 use super::Node;
-use super::control::JOIN_RETRY;
+use super::control::JOIN_INTERVAL;
 use super::orders::LEASE_PREFIX;
 use crate::action::Action;
 use crate::action::KvCall;
@@ -23,20 +24,20 @@
 use crate::time::Span;
 use crate::time::Time;
 
-/// Mean pause between two reads of the root over the whole fleet.
-const ROOT_READ: Span = Span::millis(500);
-/// Mean pause between two checks of the roster over the whole fleet.
-const ROSTER_CHECK: Span = Span::secs(10);
-/// Mean pause between two reads of the host list over the whole fleet.
-const HOSTS_READ: Span = Span::millis(500);
+/// Mean interval between reads of the root by all routers together.
+const ROOT_READ_INTERVAL: Span = Span::millis(500);
+/// Mean interval between reads of the roster by all routers together.
+const ROSTER_READ_INTERVAL: Span = Span::secs(10);
+/// Mean interval between reads of the host list by all routers together.
+const HOSTS_READ_INTERVAL: Span = Span::millis(500);
 
 impl Node {
-    /// A pause with mean `fleet` times the number of live routers, exponentially distributed so
-    /// that routers never fall into step.
-    pub(super) fn pause(&mut self, fleet: Span) -> Span {
+    /// A random pause with a mean of `interval` times the number of live routers, exponentially
+    /// distributed so that routers do not synchronise.
+    pub(super) fn pause(&mut self, interval: Span) -> Span {
         let routers = self.members.live().count() as f64 + 1.0;
         let unit: f64 = self.rng.random();
-        Span::from_secs_f64(fleet.as_secs_f64() * routers * -(1.0 - unit).ln())
+        Span::from_secs_f64(interval.as_secs_f64() * routers * -(1.0 - unit).ln())
     }
 
     pub(super) fn kv(&mut self, call: KvCall) {
@@ -56,15 +57,15 @@
             return;
         }
         if now >= self.control.root {
-            self.control.root = now + self.pause(ROOT_READ);
+            self.control.root = now + self.pause(ROOT_READ_INTERVAL);
             self.get(ROOT_KEY);
         }
         if now >= self.control.hosts {
-            self.control.hosts = now + self.pause(HOSTS_READ);
+            self.control.hosts = now + self.pause(HOSTS_READ_INTERVAL);
             self.get(LEAVING_HOSTS_KEY);
         }
         if now >= self.control.roster {
-            self.control.roster = now + self.pause(ROSTER_CHECK);
+            self.control.roster = now + self.pause(ROSTER_READ_INTERVAL);
             self.get(ROSTER_KEY);
         }
     }
@@ -83,8 +84,8 @@
         match (call, reply) {
             (KvCall::Get { key }, KvReply::Value(value)) => self.on_kv_value(now, &key, value),
             (KvCall::Swap { key, .. }, KvReply::Swapped(None)) if key == ROSTER_KEY => {
-                // Another router wrote in between; its list is read before this one is tried again.
-                self.control.roster = now + Members::jitter(&mut self.rng, JOIN_RETRY);
+                // Another router wrote the roster in the meantime: read it again before writing.
+                self.control.roster = now + Members::jitter(&mut self.rng, JOIN_INTERVAL);
             }
             _ => {}
         }
@@ -121,7 +122,8 @@
         }
     }
 
-    /// Learns routers from the roster, and writes it if it lacks any.
+    /// Merges the routers of the roster into the members, and writes the roster if it differs from
+    /// the live routers.
     pub(super) fn on_roster(&mut self, now: Time, value: Option<(Bytes, i64)>) {
         let (records, revision) = match value {
             Some((v, revision)) => {
@@ -141,8 +143,8 @@
         self.members.merge(now, &mut self.rng, &mut self.out, records);
         let live: Vec<Record> = self.members.all().filter(|r| r.is_live()).cloned().collect();
         let homes: Vec<String> = live.iter().map(Record::home).collect();
-        let same = homes.len() == listed.len() && homes.iter().all(|h| listed.contains(h));
-        if same {
+        let is_current = homes.len() == listed.len() && homes.iter().all(|h| listed.contains(h));
+        if is_current {
             return;
         }
         if let Ok(value) = serde_json::to_vec(&live) {
--- a/core/src/node/versions.rs
+++ b/core/src/node/versions.rs
@@ -1,9 +1,12 @@
-//! The way of a newer configuration from router to router.
+//! Transfers newer configurations between routers.
+//!
+//! Gossip carries version numbers. A router that receives a newer one asks the peer for its root,
+//! then for the shards that it lacks, and activates the configuration once it is complete.
 
 use rand::Rng;
 
 use super::Node;
-use super::control::ASK_AGAIN;
+use super::control::SHARD_RETRY;
 use crate::action::Action;
 use crate::action::Line;
 use crate::config::shard::Change;
@@ -14,18 +17,19 @@
 use crate::sync::Step;
 use crate::time::Time;
 
-const MAX_SHARDS_ASKED: usize = 2_048;
+/// Upper bound on shards sent for one request of a peer.
+const MAX_SHARDS_PER_REQUEST: usize = 2_048;
 
 impl Node {
-    /// Asks for the root of a peer whose gossip names a newer version.
+    /// Asks a peer for its root if its gossip contains a newer version.
     pub(super) fn on_gossip(&mut self, now: Time, from: &str, gossip: &Gossip) {
         if self.members.own().state == State::Joining {
-            self.control.versions_heard.insert(from.to_owned(), gossip.version);
+            self.control.received_versions.insert(from.to_owned(), gossip.version);
         }
         if gossip.version > self.sync.newest_version() {
             let have = self.sync.root().version;
             self.reply(from, Message::AskRoot { have });
-            self.control.ask = now + ASK_AGAIN;
+            self.control.ask = now + SHARD_RETRY;
         }
     }
 
@@ -37,7 +41,8 @@
         }
     }
 
-    /// Asks a peer, or the service if there is none, for shards of the newer root.
+    /// Requests the missing shards of the newer root from `from`, or else from a random peer, or
+    /// from the key-value service if there is no peer.
     pub(super) fn ask_shards(&mut self, from: Option<&str>) {
         let missing = self.sync.missing_shards();
         if missing.is_empty() {
@@ -56,14 +61,16 @@
     }
 
     pub(super) fn on_ask_shards(&mut self, from: &str, hashes: &[String]) {
-        let found =
-            hashes.iter().take(MAX_SHARDS_ASKED).filter_map(|h| self.sync.find_shard(h).cloned());
+        let found = hashes
+            .iter()
+            .take(MAX_SHARDS_PER_REQUEST)
+            .filter_map(|h| self.sync.find_shard(h).cloned());
         for content in found.collect::<Vec<_>>() {
             self.reply(from, Message::Shard(content));
         }
     }
 
-    /// Puts a newer configuration in force once it is complete, and sends the news on.
+    /// Activates a newer configuration once it is complete, and announces its version to peers.
     pub(super) fn step_sync(&mut self, now: Time) {
         match self.sync.apply_pending() {
             Step::Wait => {}
