--- a/core/src/node/keyed.rs
+++ b/core/src/node/keyed.rs
@@ -1,4 +1,8 @@
-//! Requests with an `Idempotency-Key`: at their home, and on their way there.
+//! Handles requests with an `Idempotency-Key`, at the home of the key and on the way to it.
+//!
+//! The home is the router that owns the key's entry in the idempotency table. Other routers forward
+//! requests to it, and send them again until an outcome arrives; the table recognises duplicates,
+//! so that each request runs at most once.
 
 use std::collections::BTreeMap;
 
@@ -21,14 +25,16 @@
 use crate::time::Span;
 use crate::time::Time;
 
-/// A forwarded request is sent again this often until it ends; its home knows it by its key.
-const RESEND: Span = Span::secs(2);
-/// A forwarded request without an end for this long has an unknown outcome.
-const GIVE_UP: Span = Span::secs(45);
+/// Interval at which a forwarded request is sent again; its home recognises it by its key.
+const RESEND_INTERVAL: Span = Span::secs(2);
+/// Time after which a forwarded request without an outcome ends as `outcome_unknown`.
+const OUTCOME_TIMEOUT: Span = Span::secs(45);
+/// Time after which callers should retry.
 const RETRY_AFTER: Span = Span::secs(2);
+/// Upper bound on forwarded requests in progress.
 const MAX_FORWARDS: usize = 10_000;
 
-/// A request of a caller here whose key's home is another router.
+/// A request of this router's caller whose key has its home at another router.
 #[derive(Debug)]
 pub(super) struct Forward {
     home: String,
@@ -37,6 +43,7 @@
     sent: Time,
 }
 
+/// Text that identifies a target in the digest of a request.
 fn target_name(target: &Target) -> String {
     match target {
         Target::Model(model) => model.clone(),
@@ -63,7 +70,7 @@
         }
     }
 
-    /// Runs a keyed request at its home, or answers it from the table.
+    /// Runs a request whose key has its home here, or answers it from the table.
     fn begin_key(&mut self, now: Time, key: Key, submission: Box<Submission>, waiter: Waiter) {
         let target = target_name(&submission.target);
         let Some(org) = self.index.organisation_of_key(&submission.key) else {
@@ -105,7 +112,7 @@
         self.forwards.insert(id, Forward { home, submission, began: now, sent: now });
     }
 
-    /// Takes a request from the router where its caller is.
+    /// Handles a request that the router of its caller has forwarded.
     pub(super) fn on_forward(
         &mut self,
         now: Time,
@@ -129,9 +136,9 @@
         }
     }
 
-    /// Takes the end of a forwarded request.
+    /// Handles the outcome of a forwarded request.
     pub(super) fn on_forwarded(&mut self, request: RequestId, outcome: Outcome) {
-        // A second answer to the same request finds nothing here.
+        // A duplicate of the outcome finds no forward.
         if self.forwards.remove(&request).is_some() {
             self.finish_caller(request, outcome);
         }
@@ -152,9 +159,9 @@
         }
     }
 
-    /// Sends forwarded requests again, and ends those whose home is gone or silent.
+    /// Sends forwarded requests again, and ends those whose home is gone or does not answer.
     pub(super) fn expire_forwards(&mut self, now: Time) {
-        let due = self.forwards.iter().filter(|(_, f)| now.since(f.sent) >= RESEND);
+        let due = self.forwards.iter().filter(|(_, f)| now.since(f.sent) >= RESEND_INTERVAL);
         let due: Vec<RequestId> = due.map(|(id, _)| *id).collect();
         for id in due {
             let Some(f) = self.forwards.get_mut(&id) else {
@@ -163,7 +170,7 @@
             f.sent = now;
             let home = self.members.find_home(&f.home).map(|r| r.peer_address.clone());
             match home {
-                Some(address) if now.since(f.began) < GIVE_UP => {
+                Some(address) if now.since(f.began) < OUTCOME_TIMEOUT => {
                     let submission = f.submission.clone();
                     let message = Message::Forward { request: id, submission };
                     self.out.push(Action::Send { address, message });
@@ -177,7 +184,7 @@
         }
     }
 
-    /// Ends every forwarded request that is still open; used when the process must exit.
+    /// Ends all forwarded requests; called when the process must exit.
     pub(super) fn end_forwards(&mut self) {
         for id in std::mem::take(&mut self.forwards).into_keys().collect::<Vec<_>>() {
             let outcome = refusal(Verdict::OutcomeUnknown, Reason::NotServing, RETRY_AFTER);
@@ -189,16 +196,17 @@
         !self.forwards.is_empty()
     }
 
-    /// Use by organisation since the last measurement, for peers.
-    pub(super) fn use_by_org(&mut self, now: Time) -> BTreeMap<String, (f32, f32)> {
-        const MOST: usize = 64;
+    /// Requests and tokens of each limited organisation since the last measurement, for peers. Only
+    /// the most active organisations are reported.
+    pub(super) fn usage_by_org(&mut self, now: Time) -> BTreeMap<String, (f32, f32)> {
+        const MAX_ORGANISATIONS: usize = 64;
         let mut active = self.limits.measure(now);
         active.sort_by(|a, b| b.1.total_cmp(&a.1));
         let limited = active.into_iter().filter(|(org, _, _)| {
             let org = self.index.organisation(*org);
             org.requests_per_second > 0 || org.tokens_per_second > 0
         });
-        let named = limited.take(MOST).map(|(org, requests, tokens)| {
+        let named = limited.take(MAX_ORGANISATIONS).map(|(org, requests, tokens)| {
             (self.index.organisation(org).name.clone(), (requests, tokens))
         });
         named.collect()
--- a/core/src/node/orders.rs
+++ b/core/src/node/orders.rs
@@ -1,4 +1,8 @@
-//! Orders to upstreams: which, and how many at a time.
+//! Orders upstreams to load the configured deployment.
+//!
+//! The router that holds a group's lease sends orders to a few upstreams at a time whose reported
+//! deployment differs from the configured one. Orders carry the lease's fencing token, so that an
+//! upstream can refuse those of a former holder.
 
 use std::collections::BTreeMap;
 
@@ -23,19 +27,19 @@
 
 /// Prefix of the keys of leases in the key-value service, followed by the group's name.
 pub const LEASE_PREFIX: &str = "laburnumwheel/orders/";
-/// Replicas of a group that load at once: the weight store is rate limited.
-const AT_ONCE: usize = 2;
-/// An order that was carried out shows in the upstream's word within this time, or is given again.
-const SHOWS: Span = Span::secs(60);
+/// Upper bound on replicas of a group that load at the same time: the weight store is rate limited.
+const MAX_CONCURRENT_ORDERS: usize = 2;
+/// Time after which an order is repeated if the upstream has not reported the new deployment.
+const REPORT_TIMEOUT: Span = Span::secs(60);
 
 /// Orders of one group.
 #[derive(Debug, Default)]
 pub(super) struct Orders {
     lease: Lease,
-    /// What upstreams say they have, by name.
-    deployed: BTreeMap<String, Deployment>,
-    /// Orders under way, by upstream.
-    given: BTreeMap<String, Time>,
+    /// Deployments reported by upstreams, by name.
+    reported: BTreeMap<String, Deployment>,
+    /// Times of the orders in progress, by upstream name.
+    sent: BTreeMap<String, Time>,
 }
 
 impl Node {
@@ -45,58 +49,59 @@
             return;
         };
         let orders = self.orders.entry(group).or_default();
-        if orders.deployed.get(name) != Some(&deployment) {
-            orders.given.remove(name);
-            orders.deployed.insert(name.to_owned(), deployment);
+        if orders.reported.get(name) != Some(&deployment) {
+            orders.sent.remove(name);
+            orders.reported.insert(name.to_owned(), deployment);
         }
     }
 
-    /// Upstreams of the group that say they have something else than they shall.
-    fn behind(&self, group: GroupKey, wanted: &Deployment) -> Vec<(String, String)> {
+    /// Names and addresses of the group's upstreams that report another deployment than `wanted`.
+    fn outdated(&self, group: GroupKey, wanted: &Deployment) -> Vec<(String, String)> {
         let (Some(state), Some(orders)) = (self.groups.get(&group), self.orders.get(&group)) else {
             return Vec::new();
         };
         let members = state.pool.members.iter().filter_map(|k| self.upstreams.get(*k));
         let present = members.filter(|u| !u.removed && !u.leaving);
-        let behind = present.filter(|u| orders.deployed.get(&u.name).is_some_and(|d| d != wanted));
-        behind.map(|u| (u.name.clone(), u.address.clone())).collect()
+        let outdated =
+            present.filter(|u| orders.reported.get(&u.name).is_some_and(|d| d != wanted));
+        outdated.map(|u| (u.name.clone(), u.address.clone())).collect()
     }
 
-    /// Whether this router is the one that tries for the group's lease. The choice only spares
-    /// writes; the lease is what makes one orderer.
+    /// Whether this router tries to get the group's lease. The choice of one candidate only saves
+    /// writes; the lease ensures that a single router gives orders.
     fn is_candidate(&self, group: &str) -> bool {
         let open = self.members.all().filter(|r| r.accepts_callers());
-        let near = |name: &str| rendezvous::distance(group, name, 1.0);
-        let nearest = open.min_by(|a, b| near(&a.name).total_cmp(&near(&b.name)));
+        let distance = |name: &str| rendezvous::distance(group, name, 1.0);
+        let nearest = open.min_by(|a, b| distance(&a.name).total_cmp(&distance(&b.name)));
         nearest.is_some_and(|r| r.name == self.settings.name)
     }
 
-    /// Gives due orders, and keeps or seeks the leases for them.
+    /// Acquires or renews the leases of groups with outdated upstreams, and sends the orders.
     pub(super) fn tick_orders(&mut self, now: Time) {
         let groups: Vec<GroupKey> = self.orders.keys().copied().collect();
         for group in groups {
             let rules = self.index.group(group);
-            let (name, wanted, checks) =
+            let (name, wanted, checks_fencing) =
                 (rules.name.clone(), rules.deployment.clone(), rules.checks_fencing);
             if wanted == Deployment::default() || !self.is_candidate(&name) {
                 continue;
             }
-            let behind = self.behind(group, &wanted);
-            if behind.is_empty() {
+            let outdated = self.outdated(group, &wanted);
+            if outdated.is_empty() {
                 continue;
             }
-            self.seek_lease(now, group, &name, checks);
-            self.give_orders(now, group, &wanted, behind);
+            self.advance_lease(now, group, &name, checks_fencing);
+            self.send_orders(now, group, &wanted, outdated);
         }
     }
 
-    fn seek_lease(&mut self, now: Time, group: GroupKey, name: &str, checks: bool) {
+    fn advance_lease(&mut self, now: Time, group: GroupKey, name: &str, checks_fencing: bool) {
         let home = self.members.own().home();
         let Some(orders) = self.orders.get_mut(&group) else {
             return;
         };
         let key = format!("{LEASE_PREFIX}{name}");
-        match orders.lease.next_step(now, &home, checks) {
+        match orders.lease.next_step(now, &home, checks_fencing) {
             Step::Wait => {}
             Step::Read => self.get(&key),
             Step::Write(revision, value) => {
@@ -107,28 +112,28 @@
         }
     }
 
-    fn give_orders(
+    fn send_orders(
         &mut self,
         now: Time,
         group: GroupKey,
         wanted: &Deployment,
-        behind: Vec<(String, String)>,
+        outdated: Vec<(String, String)>,
     ) {
         let Some(orders) = self.orders.get_mut(&group) else {
             return;
         };
-        orders.given.retain(|_, at| now.since(*at) < SHOWS);
+        orders.sent.retain(|_, at| now.since(*at) < REPORT_TIMEOUT);
         let Some(fence) = orders.lease.fencing_token(now) else {
             return;
         };
-        for (upstream, address) in behind {
-            if orders.given.len() >= AT_ONCE {
+        for (upstream, address) in outdated {
+            if orders.sent.len() >= MAX_CONCURRENT_ORDERS {
                 break;
             }
-            if orders.given.contains_key(&upstream) {
+            if orders.sent.contains_key(&upstream) {
                 continue;
             }
-            orders.given.insert(upstream.clone(), now);
+            orders.sent.insert(upstream.clone(), now);
             let line = Line::new("order").with("upstream", &upstream).with("fence", fence);
             self.out.push(Action::Log(line));
             let deployment = wanted.clone();
@@ -138,23 +143,23 @@
 
     pub(super) fn on_ordered(&mut self, now: Time, name: &str, result: OrderResult) {
         for orders in self.orders.values_mut() {
-            let Some(at) = orders.given.get_mut(name) else {
+            let Some(at) = orders.sent.get_mut(name) else {
                 continue;
             };
             match result {
-                // Its own word will show it.
+                // The entry is removed when the upstream reports the new deployment.
                 OrderResult::Done => {}
                 OrderResult::Fenced => {
-                    // Somebody else has the lease.
+                    // Another router holds the lease.
                     orders.lease = Lease::default();
-                    orders.given.remove(name);
+                    orders.sent.remove(name);
                 }
-                OrderResult::Unknown => *at = now - (Span(SHOWS.0 - MAX_ORDER_DELAY.0)),
+                OrderResult::Unknown => *at = now - (Span(REPORT_TIMEOUT.0 - MAX_ORDER_DELAY.0)),
             }
         }
     }
 
-    /// Takes a reply about a lease in.
+    /// Handles a reply of the key-value service about a lease.
     pub(super) fn on_lease_reply(&mut self, now: Time, group: &str, reply: KvReply) {
         let home = self.members.own().home();
         let Some(key) = self.index.group_named(group) else {
--- a/core/src/node/peers.rs
+++ b/core/src/node/peers.rs
@@ -1,4 +1,4 @@
-//! Messages from other routers, and what they are told.
+//! Handles messages of other routers, and sends them this router's demand.
 
 use super::Node;
 use crate::action::Action;
@@ -11,10 +11,11 @@
 use crate::upstream::Upstream;
 
 impl Node {
-    /// Tells the routers that share a group what this one wants there.
+    /// Sends this router's demand to the routers that share a group with it, with the names of
+    /// upstreams that were found to be leaving.
     pub(super) fn send_demand(&mut self, now: Time, leaving: Vec<String>) {
         let wanted = self.wanted();
-        let used = self.use_by_org(now);
+        let used = self.usage_by_org(now);
         let demand = Demand { wanted, used, leaving };
         let peers = self.sharing_peers();
         let peers: Vec<String> = peers.into_iter().map(|r| r.peer_address.clone()).collect();
@@ -23,7 +24,7 @@
         }
     }
 
-    /// Tells peers at once that an upstream is leaving.
+    /// Tells the peers immediately that an upstream is leaving.
     pub(super) fn announce_leaving(&mut self, now: Time, key: crate::arena::Key<Upstream>) {
         if let Some(up) = self.upstreams.get(key) {
             let name = up.name.clone();
@@ -52,7 +53,7 @@
     pub(super) fn on_peer(&mut self, now: Time, from: &str, incarnation: u64, message: Message) {
         let known = self.members.get(from).map_or(0, |r| r.incarnation);
         if from == self.settings.name || incarnation < known {
-            // A message of an earlier run of that router, late on the wire.
+            // A delayed message of an earlier run of that router.
             return;
         }
         match message {
@@ -100,12 +101,15 @@
         }
     }
 
+    /// Sends a message to the router with the name `to`, if it is known.
     pub(super) fn reply(&mut self, to: &str, message: Message) {
         if let Some(address) = self.members.get(to).map(|r| r.peer_address.clone()) {
             self.send(address, message);
         }
     }
 
+    /// Takes over part of another router's idempotency table, and confirms it once all parts have
+    /// arrived.
     pub(super) fn on_table(&mut self, now: Time, from: &str, part: Handover) {
         let home = part.home.clone();
         if !self.table.take_over(now, part) {
--- a/core/src/node/stop.rs
+++ b/core/src/node/stop.rs
@@ -1,8 +1,9 @@
-//! The planned stop of a router.
+//! Stops a router without interrupting requests in progress.
 //!
-//! Leave first: entry answers everywhere stop naming this router, but callers keep an answer for
-//! its time to live, so service goes on that long. Then nothing new begins, what runs finishes,
-//! the keys go to a successor, and the process exits. Nothing in progress is cut.
+//! The router first announces that it is leaving, so that entry answers of all routers no longer
+//! contain it. It serves callers for another time to live of these answers, because callers may
+//! still use one. Then it accepts no new requests, finishes those in progress, hands its
+//! idempotency keys over to one successor, and exits.
 
 use super::Node;
 use crate::action::Action;
@@ -14,40 +15,43 @@
 use crate::time::Span;
 use crate::time::Time;
 
-/// Callers may use an answer for its time to live after this router left; a little more for
-/// answers under way.
-const SERVE_ON: Span = Span(entry::TTL.0 + Span::secs(2).0);
-/// Time for the successor's word that it holds the keys, and for its news to spread.
-const SPREAD: Span = Span::secs(2);
-const RESEND: Span = Span::millis(500);
-/// A successor that has not taken the keys after this long will not.
-const HAND_OVER_FOR: Span = Span::secs(10);
+/// Time for which a leaving router serves callers: the time to live of an entry answer, and some
+/// more for answers that are still in transit.
+const LEAVING_PERIOD: Span = Span(entry::TTL.0 + Span::secs(2).0);
+/// Time between the end of the stop and the exit, in which the members learn that the successor
+/// holds the keys.
+const EXIT_DELAY: Span = Span::secs(2);
+/// Interval at which unconfirmed parts of the table are sent again.
+const RESEND_INTERVAL: Span = Span::millis(500);
+/// Time after which a hand-over that the successor has not confirmed is given up.
+const HAND_OVER_TIMEOUT: Span = Span::secs(10);
+/// Size of a part of the table, in bytes.
 const PART_BYTES: usize = 256 << 10;
 
-/// How far a planned stop has come.
+/// Phase of the stop of a router.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum Phase {
-    /// No stop was asked for.
+    /// The router was not told to stop.
     Running,
-    /// Serving on until the time given.
+    /// The router serves callers until the given time.
     Leaving(Time),
-    /// Nothing new begins; what runs finishes.
+    /// No new requests are accepted; those in progress finish.
     Draining,
-    /// The keys are on their way to a successor.
+    /// The keys are being sent to the successor; `open` are the homes that it has not confirmed.
     HandingOver { successor: String, began: Time, sent: Time, open: Vec<String> },
-    /// Everything is done; exit at the time given.
+    /// The stop is complete; the process exits at the given time.
     Done(Time),
-    /// [`Action::Exit`] was given.
+    /// [`Action::Exit`] was returned.
     Exited,
 }
 
 impl Phase {
-    /// Whether callers' requests are still taken.
+    /// Whether requests of callers are accepted.
     pub(super) fn accepts_requests(&self) -> bool {
         matches!(self, Phase::Running | Phase::Leaving(_))
     }
 
-    /// Whether failed attempts are no longer retried.
+    /// Whether the stop is complete, so that failed attempts are not retried.
     pub(super) fn is_done(&self) -> bool {
         matches!(self, Phase::Done(_) | Phase::Exited)
     }
@@ -58,7 +62,7 @@
         if self.stopping != Phase::Running {
             return;
         }
-        self.stopping = Phase::Leaving(now + SERVE_ON);
+        self.stopping = Phase::Leaving(now + LEAVING_PERIOD);
         self.members.update(&mut self.rng, &mut self.out, |own| own.state = State::Leaving);
         self.out.push(Action::Log(Line::new("leaving")));
     }
@@ -91,7 +95,8 @@
         }
     }
 
-    /// Chooses the one successor. It is never changed: two owners of a key could both run it.
+    /// Chooses the successor and sends it the keys. The successor is never replaced by another,
+    /// because two owners of a key could both run its request.
     fn begin_hand_over(&mut self, now: Time) {
         let own = self.members.own().name.clone();
         let open = self.members.live().filter(|r| r.accepts_callers());
@@ -119,6 +124,7 @@
         }
     }
 
+    /// Sends unconfirmed parts again, or ends the hand-over.
     fn continue_hand_over(
         &mut self,
         now: Time,
@@ -131,14 +137,14 @@
             self.end_stop(now);
             return;
         }
-        if now.since(began) >= HAND_OVER_FOR {
-            // Keys of this home become `outcome_unknown` elsewhere, which is true.
+        if now.since(began) >= HAND_OVER_TIMEOUT {
+            // Other routers answer `outcome_unknown` for keys of this home from now on.
             let line = Line::new("hand_over_failed").with("successor", successor);
             self.out.push(Action::Log(line));
             self.end_stop(now);
             return;
         }
-        if now.since(sent) >= RESEND {
+        if now.since(sent) >= RESEND_INTERVAL {
             let mut parts = self.table.hand_over(now, PART_BYTES);
             parts.retain(|p| open.contains(&p.home));
             self.send_parts(&successor, parts);
@@ -146,15 +152,16 @@
         }
     }
 
-    /// Notes that the successor holds the keys of `home`.
+    /// Records that the successor has confirmed the keys of `home`.
     pub(super) fn on_table_taken(&mut self, home: &str) {
         if let Phase::HandingOver { open, .. } = &mut self.stopping {
             open.retain(|h| h != home);
         }
     }
 
+    /// Announces that this router has left, and schedules the exit.
     fn end_stop(&mut self, now: Time) {
         self.members.update(&mut self.rng, &mut self.out, |own| own.state = State::Left);
-        self.stopping = Phase::Done(now + SPREAD);
+        self.stopping = Phase::Done(now + EXIT_DELAY);
     }
 }
--- a/core/src/node/upstreams.rs
+++ b/core/src/node/upstreams.rs
@@ -1,4 +1,4 @@
-//! Replicas as the configuration, load reports and host lists change them.
+//! Updates the replicas from the configuration, load reports and host lists.
 
 use super::Node;
 use crate::arena::Key;
@@ -10,7 +10,7 @@
 use crate::upstream::Upstream;
 
 impl Node {
-    /// Puts the replicas of `config` in place; those gone from it finish what they run.
+    /// Adds the replicas of `config`. Replicas that it no longer contains finish their requests.
     pub(super) fn apply_upstreams(&mut self, now: Time, config: &Config) {
         for up in self.upstream_by_name.values() {
             if let Some(up) = self.upstreams.get_mut(*up) {
@@ -39,7 +39,7 @@
             up.removed = false;
             return;
         }
-        // Another address is another process: nothing known of the old one holds.
+        // A new address means another process, so the state of the old one does not apply.
         let slots = self.index.group(group).slots;
         let tie = rendezvous::hash(&[self.settings.name.as_bytes(), entry.name.as_bytes()]);
         let key = self.upstreams.insert(Upstream::new(entry, group, slots, tie as u32));
@@ -47,7 +47,7 @@
         self.groups.entry(group).or_default().pool.members.insert(key);
     }
 
-    /// Frees replicas that are gone from the configuration and run nothing.
+    /// Drops replicas that were removed from the configuration and run no requests.
     pub(super) fn drop_removed(&mut self) {
         let idle = self.upstreams.iter().filter(|(_, u)| u.removed && u.outstanding == 0);
         let idle: Vec<(Key<Upstream>, GroupKey, String)> =
@@ -64,6 +64,7 @@
         }
     }
 
+    /// Updates the position of a replica in its group's order.
     pub(super) fn rank_upstream(&mut self, now: Time, key: Key<Upstream>) {
         let group = self.upstreams.get(key).map(|u| u.group);
         if let Some(state) = group.and_then(|g| self.groups.get_mut(&g)) {
@@ -84,10 +85,10 @@
         self.dispatch_queued(now, group);
     }
 
-    /// Takes the platform's list of leaving hosts in, and tells peers at once of what is new on it:
-    /// each of them reads the list but rarely.
+    /// Applies the platform's list of leaving hosts, and sends new entries to the peers
+    /// immediately, because each router reads the list only rarely.
     pub(super) fn on_hosts(&mut self, now: Time, leaving: &[String]) {
-        let mut news = Vec::new();
+        let mut new = Vec::new();
         let all: Vec<(String, Key<Upstream>)> =
             self.upstream_by_name.iter().map(|(n, k)| (n.clone(), *k)).collect();
         for (name, key) in all {
@@ -101,11 +102,11 @@
                 self.rank_upstream(now, key);
             }
             if after && !before {
-                news.push(name);
+                new.push(name);
             }
         }
-        if !news.is_empty() {
-            self.send_demand(now, news);
+        if !new.is_empty() {
+            self.send_demand(now, new);
         }
     }
 }
