--- a/core/src/action.rs
+++ b/core/src/action.rs
@@ -1,4 +1,4 @@
-//! Outputs of a [`crate::node::Node`].
+//! Actions that a [`crate::node::Node`] returns for the driver to execute.
 
 use bytes::Bytes;
 use derive_more::Display;
@@ -12,21 +12,21 @@
 use crate::peer;
 use crate::time::Span;
 
-/// What is known of a request that got no whole answer.
+/// Whether a request without a whole answer has run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, Display)]
 pub enum Verdict {
-    /// It did not run, and will not.
+    /// It did not run and will not run.
     #[display("not_run")]
     NotRun,
     /// It may or may not have run.
     #[display("outcome_unknown")]
     OutcomeUnknown,
-    /// It ran, and its answer is not whole.
+    /// It ran, but its answer is incomplete.
     #[display("incomplete")]
     Incomplete,
 }
 
-/// Why a request got no whole answer.
+/// Reason for which a request got no whole answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize, Display)]
 #[display(rename_all = "snake_case")]
 pub enum Reason {
@@ -34,83 +34,83 @@
     UnknownKey,
     /// No class has this name.
     UnknownClass,
-    /// No group serves this model, or has this service name.
+    /// No group serves this model or has the name of this service.
     UnknownTarget,
-    /// The organisation is over its limit.
+    /// The organisation has exceeded its limit.
     OverLimit,
-    /// It could not start within its class's patience.
+    /// The request could not start within its class's patience.
     Overloaded,
-    /// It gave way to a higher tier in a full queue.
+    /// The request was evicted from a full queue in favour of a higher tier.
     Shed,
-    /// Every upstream of its group is gone.
+    /// The group has no upstream.
     NoUpstream,
-    /// The upstream failed, and a further try was not allowed.
+    /// The upstream failed, and no further attempt was allowed.
     UpstreamFailed,
     /// The router has no configuration yet, or is stopping.
     NotServing,
     /// An `Idempotency-Key` without the prefix of an entry answer.
     KeyWithoutHome,
-    /// The same `Idempotency-Key` came with another body.
+    /// The `Idempotency-Key` was used before with another request.
     KeyReused,
-    /// The key's epoch is over; what became of it is no longer known.
+    /// The epoch of the key has ended, and its outcome is no longer stored.
     KeyExpired,
-    /// The router that owns the key is gone or silent.
+    /// The router that owns the key is gone or does not answer.
     HomeGone,
-    /// The table of keys is full.
+    /// The idempotency table is full.
     KeyTableFull,
 }
 
-/// The truthful answer to a request that got no whole answer.
+/// Outcome of a request without a whole answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// What is known.
+    /// Whether the request has run.
     pub verdict: Verdict,
-    /// Why.
+    /// Reason.
     pub reason: Reason,
-    /// When a retry is worth while.
+    /// Time after which a retry may succeed.
     pub retry_after: Span,
 }
 
-/// How a request ends.
+/// Outcome of a request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// Whole: the status, and the text for callers that did not stream it.
+    /// A whole answer.
     Whole {
         /// HTTP status.
         status: u16,
-        /// Whole text; empty if it was streamed.
+        /// Text of the answer; empty if it was streamed.
         text: Bytes,
         /// Tokens generated.
         tokens: u32,
     },
-    /// Not whole.
+    /// No whole answer.
     Refused(Refusal),
 }
 
-/// One try of a request at an upstream.
+/// An attempt to run a request at an upstream.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Dispatch {
-    /// Try.
+    /// Number of the attempt.
     pub attempt: AttemptId,
-    /// Request it serves.
+    /// Request of the caller; 0 if the request has an idempotency key.
     pub request: RequestId,
-    /// Upstream by name.
+    /// Name of the upstream.
     pub upstream: String,
     /// Address of the upstream.
     pub address: String,
-    /// What is called.
+    /// Called model or service.
     pub target: Target,
     /// Body of the request.
     pub body: Bytes,
     /// Priority for the engine; 0 is the highest.
     pub priority: u8,
-    /// Tokens that earlier attempts delivered; the engine goes on behind them.
+    /// Number of tokens that earlier attempts delivered; the engine resumes after them.
     pub offset: u32,
     /// Text of those tokens.
     pub partial: Bytes,
 }
 
-/// Call to the key-value service.
+/// A call to the key-value service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum KvCall {
     /// Linearizable read of a key.
@@ -118,7 +118,7 @@
         /// Key.
         key: String,
     },
-    /// Write if the key's modification revision is still `revision` (0: the key is absent).
+    /// Write if the key's modification revision is still `revision`; 0 means an absent key.
     Swap {
         /// Key.
         key: String,
@@ -129,58 +129,59 @@
     },
 }
 
-/// An order: a state to be in, not a step, so that carrying it out twice does no harm.
+/// An order to an upstream to load a deployment. It is idempotent, as it states the deployment and
+/// not a change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// Upstream by name.
+    /// Name of the upstream.
     pub upstream: String,
     /// Address of the upstream.
     pub address: String,
-    /// Fencing number; an upstream that checks refuses a lower one than it has seen.
+    /// Fencing token; an upstream that checks it refuses a lower one than it has seen.
     pub fence: i64,
-    /// The state.
+    /// The deployment to load.
     pub deployment: Deployment,
 }
 
-/// A log line: its event name and fields.
+/// A log line.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Line {
-    /// Event, in snake case.
+    /// Name of the event, in snake case.
     pub event: String,
     /// Fields in order.
     pub fields: Vec<(String, String)>,
 }
 
 impl Line {
-    /// A line for `event` without fields.
+    /// A log line for `event` without fields.
     pub fn new(event: &str) -> Line {
         Line { event: event.to_owned(), fields: Vec::new() }
     }
 
-    /// The line with one more field.
+    /// Adds a field.
     pub fn with(mut self, name: &str, value: impl ToString) -> Line {
         self.fields.push((name.to_owned(), value.to_string()));
         self
     }
 }
 
-/// One output.
+/// An action for the driver.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Action {
-    /// Send a try to an upstream.
+    /// Send an attempt to an upstream.
     Dispatch(Box<Dispatch>),
-    /// Stop a try.
+    /// Cancel an attempt.
     Cancel(AttemptId),
     /// Write part of an answer to a caller.
     Deliver {
         /// Request.
         request: RequestId,
-        /// Tokens in the part.
+        /// Number of tokens in the part.
         tokens: u32,
         /// Text of the part.
         text: Bytes,
     },
-    /// End a request; nothing follows for it.
+    /// End a request of a caller; no further action concerns it.
     Finish(RequestId, Outcome),
     /// Send a message to the router at a peer address.
     Send {
@@ -189,14 +190,14 @@
         /// The message.
         message: peer::Message,
     },
-    /// Drop the connection to a peer address, so that the next message dials anew.
+    /// Drop the connection to a peer address, so that the next message opens a new one.
     Redial(String),
     /// Call the key-value service.
     Kv(KvCall),
-    /// Order an upstream to bring itself into a state.
+    /// Send an order to an upstream.
     Order(Order),
     /// Write a log line.
     Log(Line),
-    /// Everything is finished; the process may exit.
+    /// Exit the process.
     Exit,
 }
--- a/core/src/event.rs
+++ b/core/src/event.rs
@@ -1,4 +1,4 @@
-//! Inputs of a [`crate::node::Node`].
+//! Events that the driver passes to a [`crate::node::Node`].
 
 use bytes::Bytes;
 use serde::Deserialize;
@@ -8,49 +8,49 @@
 use crate::config::Deployment;
 use crate::peer;
 
-/// Number the driver gives a caller's request, unique within the process.
+/// Number that the driver assigns to a caller's request, unique within the process.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize, derive_more::Display,
 )]
 pub struct RequestId(pub u64);
 
-/// Number of one try at an upstream, unique within the process.
+/// Number of an attempt at an upstream, unique within the process.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize, derive_more::Display,
 )]
 pub struct AttemptId(pub u64);
 
-/// A caller's request after its head and body have been read.
+/// A caller's request, whose head and body have been read.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Submission {
     /// Bearer key.
     pub key: String,
-    /// Class by name; the organisation's default if absent.
+    /// Name of the class; the organisation's default class if absent.
     pub class: Option<String>,
-    /// What is called.
+    /// Called model or service.
     pub target: Target,
     /// Body for the upstream.
     pub body: Bytes,
-    /// Tokens in the prompt, estimated.
+    /// Estimated tokens of the prompt.
     pub prompt_tokens: u32,
-    /// Most tokens the caller accepts; 0 means no bound.
+    /// Upper bound on output tokens; 0 means no bound.
     pub max_tokens: u32,
-    /// Hashes of the prompt's prefixes, shortest first.
+    /// Hashes of the prompt's prefixes, from short to long.
     pub prefix: Vec<u64>,
-    /// The caller wants chunks as they come.
+    /// Whether the answer is streamed to the caller.
     pub stream: bool,
-    /// The request may run more than once.
+    /// Whether the request may run more than once.
     pub idempotent: bool,
     /// `Idempotency-Key`, if the caller gave one.
     pub idempotency_key: Option<String>,
 }
 
-/// What a caller's request is for.
+/// Model or service that a request calls.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Target {
     /// A model.
     Model(String),
-    /// A plain service and the path behind its name.
+    /// A plain service, with method and path.
     Service {
         /// Group name.
         name: String,
@@ -61,14 +61,14 @@
     },
 }
 
-/// Why an attempt failed.
+/// Reason for which an attempt failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Failure {
-    /// No connection; no byte was sent.
+    /// The connection failed, and no byte was sent.
     Connect,
     /// The upstream answered 429 or 503.
     Refused,
-    /// The upstream says that it is leaving.
+    /// The upstream answered that it is leaving.
     Leaving,
     /// The connection broke, or the answer could not be understood.
     Broken,
@@ -76,7 +76,7 @@
     Misattributed,
 }
 
-/// What an upstream reports of its load.
+/// Load report of an upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
     /// Age of the report when it arrives, in microseconds.
@@ -85,88 +85,88 @@
     pub running: u32,
     /// Requests waiting inside the engine.
     pub waiting: u32,
-    /// Largest batch.
+    /// Largest batch; 0 if not reported.
     pub slots: u32,
 }
 
 /// Reply of the key-value service to a [`KvCall`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum KvReply {
-    /// Value and modification revision; `None` if there is no such key.
+    /// Value and modification revision of the key; `None` if the key does not exist.
     Value(Option<(Bytes, i64)>),
-    /// Revision of an applied compare-and-swap; `None` if the key had another revision.
+    /// New revision after a compare-and-swap; `None` if the key had another revision than expected.
     Swapped(Option<i64>),
-    /// No answer: nothing is known about the effect.
+    /// No answer; a write may or may not have been applied.
     Unavailable,
 }
 
-/// What came of an order.
+/// Result of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OrderResult {
-    /// Carried out.
+    /// The upstream has carried out the order.
     Done,
-    /// Refused: the upstream has seen a higher fencing number.
+    /// The upstream has refused the order, because it has seen a higher fencing token.
     Fenced,
-    /// No answer; it may or may not have been carried out.
+    /// No answer; the upstream may or may not execute the order.
     Unknown,
 }
 
-/// One input.
+/// An event for the node.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Event {
-    /// Time has passed; given every [`crate::node::TICK`].
+    /// Passage of time; passed every [`crate::node::TICK`].
     Tick,
     /// A caller's request.
     Request(RequestId, Box<Submission>),
-    /// The caller of a request has gone.
+    /// The caller of a request has disconnected.
     CallerGone(RequestId),
     /// Part of an answer.
     Frame {
-        /// Try it belongs to.
+        /// Attempt on whose connection the frame arrived.
         attempt: AttemptId,
-        /// Try that the upstream says it belongs to.
+        /// Attempt that the upstream names in the frame.
         echo: AttemptId,
-        /// Tokens before it in this answer, those of earlier attempts included.
+        /// Number of tokens of the answer before the frame, including those of earlier attempts.
         offset: u32,
-        /// Tokens in it.
+        /// Number of tokens in the frame.
         tokens: u32,
-        /// Text of it.
+        /// Text of the frame.
         text: Bytes,
     },
-    /// An answer came to its regular end.
+    /// Regular end of an answer.
     Ended {
-        /// Try it belongs to.
+        /// Attempt on whose connection the answer arrived.
         attempt: AttemptId,
-        /// Try that the upstream says it belongs to.
+        /// Attempt that the upstream names in the answer.
         echo: AttemptId,
         /// HTTP status.
         status: u16,
     },
     /// An attempt failed.
     Failed(AttemptId, Failure),
-    /// A load report of the upstream with this name.
+    /// Load report of the upstream with this name.
     Load(String, Load),
-    /// What the upstream with this name says it has loaded.
+    /// Deployment that the upstream with this name reports to have loaded.
     Deployed(String, Deployment),
-    /// What came of an order to the upstream with this name.
+    /// Result of an order to the upstream with this name.
     Ordered(String, OrderResult),
-    /// Prefixes that an engine's cache gained.
+    /// Prefixes that were added to an engine's cache or evicted from it.
     Cache {
-        /// Upstream.
+        /// Name of the upstream.
         upstream: String,
-        /// Number of the event; a hole means that events were lost.
+        /// Number of the event; a skipped number means that events were lost.
         sequence: u64,
         /// Prefix hashes added.
         added: Vec<u64>,
         /// Prefix hashes evicted.
         evicted: Vec<u64>,
     },
-    /// Upstreams that the platform's host list names as leaving.
+    /// List of leaving hosts from the platform.
     Hosts {
-        /// Names of upstreams.
+        /// Names of the upstreams that are leaving.
         leaving: Vec<String>,
     },
-    /// A message of a peer.
+    /// Message of a peer.
     Peer {
         /// Name of the sender.
         from: String,
@@ -177,6 +177,6 @@
     },
     /// Reply of the key-value service.
     Kv(KvCall, KvReply),
-    /// The process was told to stop.
+    /// The process is to stop.
     Stop,
 }
--- a/core/src/prefix.rs
+++ b/core/src/prefix.rs
@@ -1,7 +1,7 @@
-//! Which engines hold which prompt prefixes, as far as cache events tell.
+//! Tracks which engines hold which prompt prefixes, by their cache events.
 //!
-//! Events come late and with gaps. A gap makes an engine's entries doubtful until new events
-//! confirm them; the view is advice for the choice of upstream and never decides alone.
+//! Events arrive late and some are lost. After a lost event all entries of the engine are dropped
+//! until new events confirm them. The index is only one input to the choice of an upstream.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -9,27 +9,30 @@
 use crate::arena::Key;
 use crate::upstream::Upstream;
 
+/// Upper bound on holders of one prefix.
 const MAX_HOLDERS: usize = 4;
+/// Upper bound on tracked prefixes.
 const MAX_PREFIXES: usize = 65_536;
 
 type Holder = Key<Upstream>;
 
-/// Holders by prefix hash, in bounded memory.
+/// Holders by prefix hash. Beyond the upper bound, the prefix that was added first is removed.
 #[derive(Debug, Default)]
 pub struct Index {
     holders: BTreeMap<u64, Vec<Holder>>,
     insertion_order: VecDeque<u64>,
+    /// Number of the last event of each engine.
     last_sequence: BTreeMap<Holder, u64>,
 }
 
 impl Index {
-    /// Takes a cache event in.
+    /// Applies a cache event of an engine.
     pub fn apply_event(&mut self, holder: Holder, sequence: u64, added: &[u64], evicted: &[u64]) {
         let last = self.last_sequence.insert(holder, sequence);
         let gap = last.is_some_and(|l| sequence > l + 1);
         if gap {
-            // A lost event may have been an eviction: what was known of this engine is dropped,
-            // or requests would queue there for a prefix that is gone.
+            // The lost event may have been an eviction, and requests would queue at the engine for
+            // a prefix that it no longer holds.
             self.remove_holder(holder);
         }
         for &prefix in evicted {
@@ -42,7 +45,7 @@
         }
     }
 
-    /// Notes that `holder` is about to compute `prefix`.
+    /// Records that `holder` has `prefix` or is about to compute it.
     pub fn add(&mut self, holder: Holder, prefix: u64) {
         let list = match self.holders.get_mut(&prefix) {
             Some(list) => list,
@@ -65,14 +68,15 @@
         list.push(holder);
     }
 
-    /// Drops everything known of `holder`.
+    /// Removes all entries of `holder`.
     pub fn remove_holder(&mut self, holder: Holder) {
         for list in self.holders.values_mut() {
             list.retain(|h| *h != holder);
         }
     }
 
-    /// Engines that hold the longest known prefix of `prefixes` (shortest first).
+    /// Engines that hold the longest of `prefixes` that any engine holds; `prefixes` are ordered
+    /// from short to long.
     pub fn holders(&self, prefixes: &[u64]) -> &[Holder] {
         let known = prefixes.iter().rev().filter_map(|p| self.holders.get(p));
         known.into_iter().find(|l| !l.is_empty()).map_or(&[], Vec::as_slice)
--- a/core/src/retry.rs
+++ b/core/src/retry.rs
@@ -1,12 +1,15 @@
-//! The retry budget: retries may add only a share to the first tries.
+//! Limits retries to a share of the first attempts.
 //!
-//! Without a budget a failing group multiplies its own load: every failure brings a retry, and
-//! retries bring failures. The budget keeps the added load under a tenth.
+//! Without a limit a failing group multiplies its own load: every failure causes a retry, and
+//! retries cause further failures. The budget keeps the added load below a tenth of the first
+//! attempts, except for an initial burst.
 
-const TOKENS_PER_REQUEST: f64 = 0.1;
+/// Retries earned by each first attempt.
+const TOKENS_PER_FIRST_ATTEMPT: f64 = 0.1;
+/// Upper bound on saved retries, and their number at the start.
 const MAX_TOKENS: f64 = 20.0;
 
-/// Tokens earned by first tries and spent by retries.
+/// Token bucket that is filled by first attempts and emptied by retries.
 #[derive(Debug)]
 pub struct Budget {
     tokens: f64,
@@ -19,12 +22,12 @@
 }
 
 impl Budget {
-    /// Counts a first try.
+    /// Adds the share of a first attempt.
     pub fn deposit(&mut self) {
-        self.tokens = (self.tokens + TOKENS_PER_REQUEST).min(MAX_TOKENS);
+        self.tokens = (self.tokens + TOKENS_PER_FIRST_ATTEMPT).min(MAX_TOKENS);
     }
 
-    /// Takes one retry out; `false` if the budget is spent.
+    /// Takes one retry from the budget; `false` if none is left.
     pub fn try_withdraw(&mut self) -> bool {
         if self.tokens < 1.0 {
             return false;
--- a/core/src/stats.rs
+++ b/core/src/stats.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms by class, and by organisation in bounded number.
+//! Counters and histograms by class, and by organisation for a bounded number of them.
 
 use std::collections::BTreeMap;
 
@@ -11,22 +11,24 @@
 use crate::config::OrgKey;
 use crate::time::Span;
 
+/// Significant digits of histogram values.
 const DIGITS: u8 = 2;
+/// Upper bound on organisations with their own series.
 const MAX_ORGS: usize = 64;
 
-/// Why tokens were generated for nobody.
+/// Reason for which generated tokens were wasted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Display)]
 #[display(rename_all = "snake_case")]
 pub enum Waste {
-    /// The caller went away.
+    /// The caller disconnected.
     CallerGone,
-    /// The answer stayed incomplete.
+    /// The request ended without a whole answer.
     Incomplete,
-    /// Frames of an attempt that was over.
+    /// The frame was a duplicate or belonged to an attempt that had ended.
     Late,
 }
 
-/// What is counted for a class or an organisation.
+/// Counters and histograms of a class or an organisation.
 #[derive(Clone, Debug)]
 pub struct Series {
     /// Requests received.
@@ -35,9 +37,9 @@
     pub whole: u64,
     /// Whole answers within both targets of the class.
     pub attained: u64,
-    /// Tokens in whole answers.
+    /// Tokens of whole answers.
     pub tokens: u64,
-    /// Other ends, by what is known and why.
+    /// Refusals by verdict and reason.
     pub refused: BTreeMap<(String, Reason), u64>,
     /// Microseconds from arrival to the first token.
     pub first_token: Histogram<u64>,
@@ -63,14 +65,14 @@
     }
 }
 
-/// How a request went, for the counters.
+/// Durations of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
-    /// From arrival to the first token, if there was one.
+    /// Time from arrival to the first token, if there was one.
     pub first_token: Option<Span>,
-    /// From arrival to the end.
+    /// Time from arrival to the end.
     pub finish: Span,
-    /// Both within the targets of the class.
+    /// Whether both are within the targets of the class.
     pub attained: bool,
 }
 
@@ -94,37 +96,37 @@
     }
 }
 
-/// Everything a router counts.
+/// All counters of a router.
 #[derive(Clone, Debug, Default)]
 pub struct Stats {
-    /// By class.
+    /// Series by class.
     pub classes: BTreeMap<ClassKey, Series>,
-    /// By organisation, for the first so many that appear.
+    /// Series by organisation, for a bounded number of them in the order of appearance.
     pub orgs: BTreeMap<OrgKey, Series>,
-    /// Tokens generated for nobody, by cause.
+    /// Wasted tokens by cause.
     pub wasted: BTreeMap<Waste, u64>,
     /// Attempts sent to upstreams.
     pub dispatches: u64,
     /// Attempts after the first of a request.
     pub retries: u64,
-    /// Attempts stopped for a higher tier.
+    /// Attempts stopped in favour of a higher tier.
     pub preemptions: u64,
-    /// Attempts given up because nothing came.
+    /// Attempts given up because no frame arrived in time.
     pub stalls: u64,
-    /// Answers that named another request.
+    /// Answers that carried the id of another request.
     pub misattributed: u64,
-    /// Entry answers given.
+    /// Entry answers.
     pub entries: u64,
     /// Reads of the key-value service.
     pub kv_reads: u64,
     /// Writes to the key-value service.
     pub kv_writes: u64,
-    /// Requests passed to the home of their key.
+    /// Requests forwarded to the home of their key.
     pub forwards: u64,
 }
 
 impl Stats {
-    /// Counts an arrival.
+    /// Records the arrival of a request.
     pub fn record_arrival(&mut self, class: ClassKey, org: OrgKey) {
         self.classes.entry(class).or_default().received += 1;
         if let Some(series) = self.org(org) {
@@ -132,7 +134,7 @@
         }
     }
 
-    /// Counts an end.
+    /// Records the end of a request.
     pub fn record_end(&mut self, class: ClassKey, org: OrgKey, timing: Timing, outcome: &Outcome) {
         self.classes.entry(class).or_default().record_end(timing, outcome);
         if let Some(series) = self.org(org) {
@@ -140,11 +142,12 @@
         }
     }
 
-    /// Counts tokens generated for nobody.
+    /// Records wasted tokens.
     pub fn record_waste(&mut self, cause: Waste, tokens: u32) {
         *self.wasted.entry(cause).or_default() += u64::from(tokens);
     }
 
+    /// The series of an organisation; `None` beyond [`MAX_ORGS`].
     fn org(&mut self, org: OrgKey) -> Option<&mut Series> {
         if self.orgs.len() >= MAX_ORGS && !self.orgs.contains_key(&org) {
             return None;
