--- a/core/src/gateway/quarantine.rs
+++ b/core/src/gateway/quarantine.rs
@@ -5,8 +5,8 @@
 //! crashes and no complete answer is quarantined. Requests that merely ran at the same time as the
 //! cause are cleared by a complete answer from another replica, by a later sign of life of the
 //! replica, or because another quarantined fingerprint explains their crashes. Crashes are only
-//! added to records, except that an answer clears them, so gateways reach the same result in
-//! whatever order they merge records.
+//! added to records, except that an answer clears them, so the order in which a gateway merges
+//! records does not affect the result.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -25,8 +25,8 @@
 pub const CRASH_THRESHOLD: usize = 3;
 /// Duration of a quarantine after [`CRASH_THRESHOLD`] crashes; doubles with each further crash.
 const MIN_QUARANTINE: Span = Span::secs(600);
-/// Fewest crashes in common with a quarantined fingerprint for which that one is taken as the
-/// cause.
+/// Number of crashes shared with a quarantined fingerprint from which that fingerprint is
+/// considered their cause.
 const MIN_SHARED: usize = 2;
 /// Upper bound on crashes tracked for one fingerprint.
 const MAX_CRASHES: usize = 10;
--- a/core/tests/gateway/leader/model.rs
+++ b/core/tests/gateway/leader/model.rs
@@ -56,7 +56,7 @@
     era_in_token: true,
 };
 
-/// Violated invariant.
+/// A violated invariant of the election.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Violation {
     TokenDecreased,
@@ -146,8 +146,11 @@
 #[derive(Clone, Debug, Default)]
 struct Contents {
     revision: u64,
+    /// Lease and revision of the leader's record.
     leader: Option<(u64, u64)>,
+    /// Era and revision of the journal.
     journal: Option<(u64, u64)>,
+    /// Expiry times of leases.
     leases: BTreeMap<u64, Time>,
     /// Number of leases granted so far. After a rollback the same numbers are granted again.
     granted: u64,
@@ -169,6 +172,7 @@
     era: u64,
     snapshots: Vec<Contents>,
     is_store_down: bool,
+    /// Times, senders and tokens of the calls received by the platform.
     received: Vec<(Time, usize, u64)>,
 }
 
