--- a/core/tests/lease.rs
+++ b/core/tests/lease.rs
@@ -1,4 +1,4 @@
-//! The lease of orderers: two never hold it at once, and a new holder waits out late orders.
+//! Exclusiveness of the lease for orders, and the delay before a new holder's first order.
 
 use laburnumwheel_core::order::Lease;
 use laburnumwheel_core::order::MAX_ORDER_DELAY;
@@ -8,7 +8,7 @@
 use laburnumwheel_core::time::Time;
 use proptest::prelude::*;
 
-/// The key-value service's side of the lease.
+/// The key of the lease in the key-value service.
 #[derive(Default)]
 struct Store {
     value: Option<(Value, i64)>,
@@ -27,13 +27,14 @@
     }
 }
 
-fn act(lease: &mut Lease, name: &str, store: &mut Store, now: Time, lose: bool, checks: bool) {
+/// Performs the next step of a lease; the reply to a write is lost if `lost` is set.
+fn act(lease: &mut Lease, name: &str, store: &mut Store, now: Time, lost: bool, checks: bool) {
     match lease.next_step(now, name, checks) {
         Step::Wait => {}
         Step::Read => lease.on_read(now, name, store.value.clone()),
         Step::Write(revision, value) => {
             let reply = store.swap(revision, value);
-            if lose {
+            if lost {
                 lease.on_unavailable();
             } else {
                 lease.on_write_reply(now, reply);
@@ -45,12 +46,12 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Routers act, freeze and lose replies at random. At no time may two give orders; and to
-    /// upstreams that ignore fencing numbers, a new holder gives none before the longest time that
-    /// an order of the old one may be on its way.
+    /// Routers act, pause and miss replies at random. Two of them must never hold the lease at the
+    /// same time. If the upstreams ignore fencing tokens, a new holder must not give orders until
+    /// all orders of the former holder have arrived, that is for `MAX_ORDER_DELAY`.
     #[test]
-    fn two_never_hold_it_at_once(
-        moves in proptest::collection::vec((0..3usize, 0..4_000u64, 0..6u8), 1..200),
+    fn two_routers_never_hold_the_lease_at_once(
+        steps in proptest::collection::vec((0..3usize, 0..4_000u64, 0..6u8), 1..200),
         checks in any::<bool>(),
     ) {
         let names = ["a", "b", "c"];
@@ -58,8 +59,8 @@
         let mut store = Store::default();
         let mut now = Time(1_000_000);
         let mut last: Option<(usize, Time, i64)> = None;
-        for (who, ms, lose) in moves {
-            // Time passes in small steps, so that a holder's last moment is seen.
+        for (router, ms, lost) in steps {
+            // Time passes in small steps, so that the end of a lease is observed.
             for _ in 0..ms / 100 {
                 now = now + Span::millis(100);
                 for (i, lease) in leases.iter().enumerate() {
@@ -67,7 +68,7 @@
                         continue;
                     };
                     if let Some((holder, at, before)) = last.filter(|l| l.0 != i) {
-                        prop_assert!(at < now, "{holder} and {i} hold it at {now}");
+                        prop_assert!(at < now, "{holder} and {i} hold the lease at {now}");
                         prop_assert!(fence > before);
                         let gap = now.since(at);
                         prop_assert!(checks || gap >= MAX_ORDER_DELAY, "{gap} after {holder}");
@@ -75,29 +76,31 @@
                     last = Some((i, now, fence));
                 }
             }
-            act(&mut leases[who], names[who], &mut store, now, lose == 0, checks);
+            act(&mut leases[router], names[router], &mut store, now, lost == 0, checks);
         }
     }
 }
 
+/// The holder of a lease stops renewing it. Another router must get it after its expiry.
 #[test]
-fn a_lease_passes_on_when_its_holder_is_gone() {
+fn a_lease_passes_to_another_router_after_its_expiry() {
     // Arrange
-    let (mut gone, mut next, mut store) = (Lease::default(), Lease::default(), Store::default());
+    let (mut stopped, mut successor, mut store) =
+        (Lease::default(), Lease::default(), Store::default());
     let mut now = Time(1_000_000);
     for _ in 0..2 {
-        act(&mut gone, "a", &mut store, now, false, false);
+        act(&mut stopped, "a", &mut store, now, false, false);
     }
-    assert!(gone.fencing_token(now).is_some());
+    assert!(stopped.fencing_token(now).is_some());
 
     // Act
-    let mut took = 0;
-    while next.fencing_token(now).is_none() && took < 60 {
-        act(&mut next, "b", &mut store, now, false, false);
+    let mut elapsed_s = 0;
+    while successor.fencing_token(now).is_none() && elapsed_s < 60 {
+        act(&mut successor, "b", &mut store, now, false, false);
         now = now + Span::secs(1);
-        took += 1;
+        elapsed_s += 1;
     }
 
     // Assert
-    assert!((20..=25).contains(&took), "{took} s");
+    assert!((20..=25).contains(&elapsed_s), "{elapsed_s} s");
 }
--- a/core/tests/queueing.rs
+++ b/core/tests/queueing.rs
@@ -1,4 +1,4 @@
-//! Who goes first, who waits, and who is refused.
+//! Order of dispatch, refusals and limits of queued requests.
 
 mod support;
 
@@ -14,17 +14,19 @@
 
 use support::Harness;
 
-/// A site with one engine of two slots and organisations `big` and `small`.
-fn narrow(more: &str) -> Harness {
+/// A router with one engine of two slots and the organisations `big` and `small`; `settings` are
+/// those of `big`.
+fn single_engine(settings: &str) -> Harness {
     let text = support::CLASSES.to_owned()
         + &support::upstream("e1", "models", 1)
-        + &support::organisation("big", more)
+        + &support::organisation("big", settings)
         + &support::organisation("small", "");
     Harness::with_config(&text)
 }
 
-/// Ends attempts in the order they were sent, for so many rounds; returns all requests sent.
-fn serve(harness: &mut Harness, actions: Vec<Action>, rounds: usize) -> Vec<RequestId> {
+/// Ends `rounds` attempts in the order in which they were sent; returns all requests in the order
+/// of their dispatch.
+fn complete(harness: &mut Harness, actions: Vec<Action>, rounds: usize) -> Vec<RequestId> {
     let mut running = support::dispatches(&actions);
     let mut order: Vec<RequestId> = running.iter().map(|d| d.request).collect();
     for _ in 0..rounds {
@@ -41,12 +43,12 @@
     order
 }
 
-/// A large organisation sends sixty requests, then a small one sends three. The small one does
-/// not wait for the sixty.
+/// In first-come order, three requests of a small organisation would wait for sixty earlier ones of
+/// a large organisation of the same class.
 #[test]
 fn a_large_organisation_does_not_crowd_out_a_small_one() {
     // Arrange
-    let mut harness = narrow("");
+    let mut harness = single_engine("");
     let mut actions = Vec::new();
     for _ in 0..60 {
         actions.extend(harness.submit(Harness::submission("bulk", "big")).1);
@@ -55,20 +57,21 @@
         (0..3).map(|_| harness.submit(Harness::submission("bulk", "small")).0).collect();
 
     // Act
-    let order = serve(&mut harness, actions, 30);
+    let order = complete(&mut harness, actions, 30);
 
     // Assert
-    let places = small.iter().map(|id| order.iter().position(|o| o == id));
-    assert!(places.clone().all(|p| p.is_some_and(|p| p < 20)), "{:?}", places.collect::<Vec<_>>());
+    let ranks = small.iter().map(|id| order.iter().position(|o| o == id));
+    assert!(ranks.clone().all(|p| p.is_some_and(|p| p < 20)), "{:?}", ranks.collect::<Vec<_>>());
 }
 
-/// The highest tier never lets up, and a bulk request still gets its turn: each class has a trickle.
+/// A constant queue of urgent requests would starve bulk requests, were it not for the trickle of
+/// their class.
 #[test]
 fn the_lowest_class_is_not_starved() {
     // Arrange
-    let mut harness = narrow("");
+    let mut harness = single_engine("");
     let mut actions = Vec::new();
-    let (draft, first) = harness.submit(Harness::submission("bulk", "small"));
+    let (early, first) = harness.submit(Harness::submission("bulk", "small"));
     actions.extend(first);
     for _ in 0..300 {
         actions.extend(harness.submit(Harness::submission("urgent", "big")).1);
@@ -76,18 +79,19 @@
     let (late, _) = harness.submit(Harness::submission("bulk", "small"));
 
     // Act
-    let order = serve(&mut harness, actions, 200);
+    let order = complete(&mut harness, actions, 200);
 
     // Assert
-    assert!(order.contains(&draft));
-    assert!(order.contains(&late), "of {} sent", order.len());
+    assert!(order.contains(&early));
+    assert!(order.contains(&late), "not among {} dispatched requests", order.len());
 }
 
-/// A draft that cannot start within its patience is refused when that is over, not run late.
+/// Requests that cannot start within the patience of their class are refused at its end instead of
+/// being run too late.
 #[test]
 fn a_request_past_its_patience_is_refused_as_not_run() {
     // Arrange
-    let mut harness = narrow("");
+    let mut harness = single_engine("");
     for _ in 0..8 {
         harness.submit(Harness::submission("draft", "big"));
     }
@@ -105,12 +109,12 @@
     assert!(refused.iter().all(|r| *r == (Verdict::NotRun, Reason::Overloaded)));
 }
 
-/// The engine is full of drafts when an urgent check comes. One draft gives way at once, and goes
-/// on later behind the token it had.
+/// An engine is full of draft requests when an urgent one arrives. The urgent request must be
+/// dispatched immediately instead of waiting for a draft to end.
 #[test]
-fn an_urgent_request_takes_a_draft_s_place() {
+fn an_urgent_request_is_dispatched_to_a_full_engine() {
     // Arrange
-    let mut harness = narrow("");
+    let mut harness = single_engine("");
     let mut running = Vec::new();
     for _ in 0..4 {
         running.extend(support::dispatches(&harness.submit(Harness::submission("draft", "big")).1));
@@ -118,7 +122,7 @@
     for d in &running {
         harness.frame(d.attempt, 0);
     }
-    // Answers take their time: that is what an urgent request would have to wait for.
+    // The mean duration of an attempt, which an urgent request would wait for, is now long.
     harness.advance(Span::millis(400));
     let first = running.remove(0);
     harness.end(first.attempt);
@@ -133,13 +137,13 @@
     assert!(sent.iter().any(|d| d.request == urgent));
 }
 
-/// An organisation sends twice its limit. Half is refused with the time of the next chance, and
-/// the rate over ten seconds keeps to the limit with at most one bucket more.
+/// An organisation sends twice its limit for ten seconds. The admitted requests must not exceed the
+/// limit by more than one bucket, and all others are refused as over the limit.
 #[test]
-fn a_limit_holds() {
+fn an_organisation_is_held_to_its_limit() {
     // Arrange
-    let mut harness = narrow("requests_per_second = 10");
-    let mut taken = 0;
+    let mut harness = single_engine("requests_per_second = 10");
+    let mut admitted = 0;
     let mut refused = BTreeMap::new();
 
     // Act
@@ -147,7 +151,7 @@
         let (_, actions) = harness.submit(Harness::submission("urgent", "big"));
         match support::finish(&actions) {
             Some(Outcome::Refused(r)) => *refused.entry(r.reason).or_insert(0) += 1,
-            _ => taken += 1,
+            _ => admitted += 1,
         }
         for d in support::dispatches(&actions) {
             harness.end(d.attempt);
@@ -156,14 +160,14 @@
     }
 
     // Assert
-    assert!((95..=112).contains(&taken), "{taken} taken");
+    assert!((95..=112).contains(&admitted), "{admitted} admitted");
     assert_eq!(refused.keys().collect::<Vec<_>>(), vec![&Reason::OverLimit]);
 }
 
-/// A prefix is known at a replica of another group (its cache event came under the same hash).
-/// Work must never go there: a chat once reached a plain service that way.
+/// A replica of another group reports the same prefix hash. Without a check of the group, requests
+/// for a model are sent to that replica, as happened with a chat and a plain service.
 #[test]
-fn a_prefix_known_in_another_group_draws_nothing_there() {
+fn a_prefix_held_in_another_group_attracts_no_requests() {
     // Arrange
     let mut harness = Harness::new();
     let cache = Event::Cache {
--- a/core/tests/streams.rs
+++ b/core/tests/streams.rs
@@ -1,4 +1,4 @@
-//! Streams that break, repeat, cross or fall silent.
+//! Failures of streams: broken connections, duplicate, lost and misattributed frames, stalls.
 
 mod support;
 
@@ -19,10 +19,10 @@
     }
 }
 
-/// An engine crashes in the middle of a stream. The reader sees the words go on: another engine
-/// is told what is already there, and goes on behind it.
+/// An engine crashes in the middle of a stream. Another engine gets the delivered tokens and their
+/// text and resumes after them, so that the caller sees one uninterrupted answer.
 #[test]
-fn a_broken_stream_goes_on_elsewhere_from_its_offset() {
+fn a_broken_stream_resumes_elsewhere_at_its_offset() {
     // Arrange
     let mut harness = Harness::new();
     let (_, actions) = harness.submit(Harness::submission("draft", "o"));
@@ -43,9 +43,10 @@
     assert!(matches!(end, Some(Outcome::Whole { tokens: 3, .. })));
 }
 
-/// A frame comes twice, and one of the attempt before arrives late: neither reaches the reader.
+/// A duplicate frame and a late frame of an earlier attempt must not reach the caller, who would
+/// see the same tokens twice.
 #[test]
-fn duplicate_and_late_frames_reach_nobody() {
+fn duplicate_and_late_frames_are_not_delivered() {
     // Arrange
     let mut harness = Harness::new();
     let (_, actions) = harness.submit(Harness::submission("draft", "o"));
@@ -63,10 +64,10 @@
     assert_eq!((twice.as_str(), late.as_str(), next.as_str()), ("", "", "1 "));
 }
 
-/// An engine crosses two streams: a chunk carries another request's id. It is a failure of the
-/// engine, and its text reaches nobody.
+/// An engine mixes up two streams: a frame carries another attempt's id. This counts as a failure
+/// of the engine, and the text must not be delivered.
 #[test]
-fn a_crossed_stream_is_a_failure_not_an_answer() {
+fn a_misattributed_frame_is_a_failure() {
     // Arrange
     let mut harness = Harness::new();
     let (_, actions) = harness.submit(Harness::submission("draft", "o"));
@@ -83,10 +84,10 @@
     assert_eq!(harness.node.stats().misattributed, 1);
 }
 
-/// A chunk is missing in the middle. Nothing behind the gap is delivered; the stream goes on
-/// elsewhere from where it was whole.
+/// A frame is missing in the middle of a stream. Nothing after the gap is delivered; the stream
+/// resumes elsewhere at the gap.
 #[test]
-fn a_gap_is_never_delivered_over() {
+fn frames_after_a_gap_are_not_delivered() {
     // Arrange
     let mut harness = Harness::new();
     let (_, actions) = harness.submit(Harness::submission("draft", "o"));
@@ -101,10 +102,10 @@
     assert_eq!(support::dispatch(&actions).offset, 1);
 }
 
-/// A call that may run once breaks after it was sent. The caller is told that nobody knows; it is
-/// not sent again. One whose connection was refused never ran and is sent elsewhere.
+/// A non-idempotent call fails after it was sent. It must not be sent again, and its outcome is
+/// unknown. A call whose connection was refused cannot have run and is sent elsewhere.
 #[test]
-fn a_call_that_may_run_once_is_not_repeated() {
+fn a_non_idempotent_call_is_not_repeated() {
     // Arrange
     let mut harness = Harness::new();
     let (_, actions) = harness.submit(Harness::bid());
@@ -123,10 +124,10 @@
     assert_eq!(support::dispatches(&again).len(), 1);
 }
 
-/// A refusal (503) of a service that does not promise that refused calls did not run: the truth
-/// is not known.
+/// A service that does not guarantee that refused calls did not run answers 503. The outcome of the
+/// call is unknown.
 #[test]
-fn a_refusal_proves_nothing_unless_declared() {
+fn a_refusal_has_an_unknown_outcome_unless_declared_safe() {
     // Arrange
     let mut harness = Harness::new();
     let (_, actions) = harness.submit(Harness::bid());
@@ -140,10 +141,10 @@
     assert_eq!(refused(support::finish(&actions)), expected);
 }
 
-/// A plain service stops by plan and refuses a bid as it leaves. The bid did not run there, so it
-/// runs at the other replica, and the bidder notices nothing.
+/// A replica of a plain service refuses a bid because it is leaving. The bid did not run there, so
+/// it is sent to the other replica, and the caller gets a whole answer.
 #[test]
-fn a_leaving_service_harms_no_call() {
+fn a_call_refused_by_a_leaving_service_is_sent_elsewhere() {
     // Arrange
     let text = support::CLASSES.to_owned()
         + &support::upstream("s1", "bids", 3)
@@ -163,9 +164,10 @@
     assert!(matches!(end, Some(Outcome::Whole { .. })));
 }
 
-/// A caller hangs up: the engine is told to stop at once.
+/// A caller disconnects in the middle of a stream. The attempt must be cancelled immediately, or
+/// the engine would generate tokens for nobody.
 #[test]
-fn work_for_a_caller_that_has_gone_stops() {
+fn a_request_of_a_disconnected_caller_is_cancelled() {
     // Arrange
     let mut harness = Harness::new();
     let (id, actions) = harness.submit(Harness::submission("draft", "o"));
@@ -179,10 +181,10 @@
     assert_eq!(harness.node.in_progress(), 0);
 }
 
-/// An engine says that it is leaving when it refuses a request. It gets no further request, and
-/// the one it refused goes elsewhere.
+/// An engine refuses a request because it is leaving. The request is sent elsewhere, and the engine
+/// gets no further ones, even if a later host list does not contain it.
 #[test]
-fn a_leaving_engine_gets_nothing_new() {
+fn a_leaving_engine_gets_no_new_requests() {
     // Arrange
     let mut harness = Harness::new();
     let (_, actions) = harness.submit(Harness::submission("draft", "o"));
@@ -202,10 +204,10 @@
     assert!(sent.iter().all(|d| d.upstream != first.upstream));
 }
 
-/// An engine hangs with its socket open. Only time shows it: the attempt is given up and the
-/// stream goes on elsewhere.
+/// An engine hangs with its socket open, which only a timeout detects. The attempt is given up and
+/// the request is sent elsewhere.
 #[test]
-fn a_silent_engine_is_given_up() {
+fn an_attempt_at_a_hanging_engine_times_out() {
     // Arrange
     let mut harness = Harness::new();
     let (_, actions) = harness.submit(Harness::submission("urgent", "o"));
