--- a/core/src/node/attempt.rs
+++ b/core/src/node/attempt.rs
@@ -20,7 +20,7 @@
 use crate::time::Span;
 use crate::time::Time;
 
-/// Upper bound on failed attempts of one request.
+/// Upper bound on attempts of one request, not counting preempted ones.
 const MAX_ATTEMPTS: u32 = 4;
 /// Time after which callers should retry a failed request.
 const RETRY_AFTER: Span = Span::secs(1);
@@ -38,6 +38,7 @@
 }
 
 impl Node {
+    /// Handles a part of an answer.
     pub(super) fn on_frame(&mut self, now: Time, attempt: AttemptId, frame: Frame) {
         let Some(key) = self.attempts.get(&attempt).copied() else {
             // The attempt has ended, so its frame must not reach the caller.
@@ -82,6 +83,7 @@
         }
     }
 
+    /// Handles the regular end of an answer.
     pub(super) fn on_ended(&mut self, now: Time, attempt: AttemptId, echo: AttemptId, status: u16) {
         let Some(key) = self.attempts.get(&attempt).copied() else {
             return;
@@ -116,6 +118,7 @@
         self.dispatch_queued(now, group);
     }
 
+    /// Handles the failure of an attempt.
     pub(super) fn on_failed(&mut self, now: Time, attempt: AttemptId, failure: Failure) {
         let Some(key) = self.attempts.get(&attempt).copied() else {
             return;
--- a/core/src/node/control.rs
+++ b/core/src/node/control.rs
@@ -88,6 +88,7 @@
 }
 
 impl Node {
+    /// Runs the periodic tasks that are due.
     pub(super) fn tick_control(&mut self, now: Time) {
         self.members.tick(now, &mut self.rng, &mut self.out);
         self.tick_join(now);
@@ -95,8 +96,8 @@
         if due(&mut self.control.share, now, SHARE_INTERVAL) {
             self.refresh_shares(now);
         }
-        let small = self.members.live().count() < cell::MAX_ROUTERS_WITHOUT_CELLS;
-        let every = if small { DEMAND_INTERVAL_FEW } else { DEMAND_INTERVAL_MANY };
+        let few = self.members.live().count() < cell::MAX_ROUTERS_WITHOUT_CELLS;
+        let every = if few { DEMAND_INTERVAL_FEW } else { DEMAND_INTERVAL_MANY };
         if due(&mut self.control.demand, now, every) {
             self.send_demand(now, Vec::new());
         }
@@ -157,10 +158,10 @@
         let versions = &self.control.received_versions;
         let current = versions.values().all(|v| *v <= version);
         let required = MIN_PEERS_TO_SERVE.min(self.members.live().count()).max(1);
-        let by_peers = versions.len() >= required;
+        let enough_peers = versions.len() >= required;
         let read = self.control.root_read;
         let without_store = self.control.kv_failed || !self.settings.key_value;
-        current && (read || (without_store && by_peers))
+        current && (read || (without_store && enough_peers))
     }
 
     /// Recomputes the cells after a change of members or configuration.
@@ -193,7 +194,7 @@
             let names = live.filter(|name| cells.serves(key, name));
             let group = &self.index.group(key).name;
             let group = (group.as_str(), state.pool.slots());
-            state.demand.observe(&state.wanted());
+            state.demand.observe(&state.demand_by_tier());
             let own = (self.settings.name.as_str(), &state.demand.get());
             let slice = if cells.serves(key, own.0) {
                 self.demands.slice(now, group, own, names)
--- a/core/src/node/dispatch.rs
+++ b/core/src/node/dispatch.rs
@@ -51,15 +51,15 @@
 
 impl GroupState {
     /// Requests at upstreams and in the queue, by tier.
-    pub(super) fn wanted(&self) -> TierDemand {
-        let mut wanted = self.queue.len_by_tier();
-        for (sum, running) in wanted.iter_mut().zip(self.running) {
+    pub(super) fn demand_by_tier(&self) -> TierDemand {
+        let mut demand = self.queue.len_by_tier();
+        for (sum, running) in demand.iter_mut().zip(self.running) {
             *sum += running;
         }
-        wanted
+        demand
     }
 
-    /// Whether this router's demand exceeds its slots.
+    /// Whether requests are queued or all of this router's slots are in use.
     fn is_saturated(&self) -> bool {
         !self.queue.is_empty() || self.pool.outstanding >= self.pool.max_outstanding()
     }
@@ -151,6 +151,7 @@
         })
     }
 
+    /// Starts an attempt of a request at `upstream`.
     fn dispatch(
         &mut self,
         now: Time,
@@ -311,10 +312,10 @@
         }
     }
 
-    /// Time without a sign of progress after which an attempt is given up.
+    /// Time without a frame after which an attempt is given up.
     pub(super) fn silence_timeout(&self, r: &Request, attempt: &Attempt) -> Span {
         if !r.is_idempotent() {
-            // The request must not be sent elsewhere, so giving up early would not help it.
+            // The request must not be sent elsewhere: giving it up ends it with an unknown outcome.
             return NON_IDEMPOTENT_TIMEOUT;
         }
         match (attempt.answered, r.flow.rule.protected) {
--- a/core/src/node/keyed.rs
+++ b/core/src/node/keyed.rs
@@ -39,7 +39,7 @@
 pub(super) struct Forward {
     home: String,
     submission: Box<Submission>,
-    began: Time,
+    started: Time,
     sent: Time,
 }
 
@@ -52,6 +52,8 @@
 }
 
 impl Node {
+    /// Handles a request with an idempotency key: here if this router owns the key, otherwise by
+    /// forwarding the request to the key's home.
     pub(super) fn receive_with_key(
         &mut self,
         now: Time,
@@ -95,13 +97,13 @@
 
     fn forward(&mut self, now: Time, id: RequestId, home: String, submission: Box<Submission>) {
         let Some(address) = self.members.find_home(&home).map(|r| r.peer_address.clone()) else {
-            // It may have run there before its home was lost; nobody can tell any more.
+            // The request may have run before its home was lost, so its outcome is unknown.
             let outcome = refusal(Verdict::OutcomeUnknown, Reason::HomeGone, RETRY_AFTER);
             self.finish_caller(id, outcome);
             return;
         };
         if self.forwards.len() >= MAX_FORWARDS {
-            // An earlier submission of the key may have run; only its home could tell.
+            // An earlier request with the key may have run, which only its home knows.
             let outcome = refusal(Verdict::OutcomeUnknown, Reason::KeyTableFull, RETRY_AFTER);
             self.finish_caller(id, outcome);
             return;
@@ -109,7 +111,7 @@
         self.stats.forwards += 1;
         let message = Message::Forward { request: id, submission: submission.clone() };
         self.send(address, message);
-        self.forwards.insert(id, Forward { home, submission, began: now, sent: now });
+        self.forwards.insert(id, Forward { home, submission, started: now, sent: now });
     }
 
     /// Handles a request that the router of its caller has forwarded.
@@ -170,7 +172,7 @@
             f.sent = now;
             let home = self.members.find_home(&f.home).map(|r| r.peer_address.clone());
             match home {
-                Some(address) if now.since(f.began) < OUTCOME_TIMEOUT => {
+                Some(address) if now.since(f.started) < OUTCOME_TIMEOUT => {
                     let submission = f.submission.clone();
                     let message = Message::Forward { request: id, submission };
                     self.out.push(Action::Send { address, message });
--- a/core/src/node/mod.rs
+++ b/core/src/node/mod.rs
@@ -250,7 +250,7 @@
     ) -> Option<entry::Answer> {
         let group = model.and_then(|m| self.index.group_of_model(m));
         self.stats.entries += 1;
-        let own_wanted = self.requests.len() as u32;
+        let own_demand = self.requests.len() as u32;
         let own = self.members.own().name.clone();
         let open = self.members.all().filter(|r| r.accepts_callers());
         let serves_group = |r: &&Record| group.is_none_or(|g| self.cells.serves(g, &r.name));
@@ -258,15 +258,15 @@
             .filter(serves_group)
             .map(|record| {
                 let reported = self.demands.total_demand(now, &record.name);
-                let wanted = if record.name == own { own_wanted } else { reported.unwrap_or(0) };
-                entry::Candidate { record, demand: wanted }
+                let demand = if record.name == own { own_demand } else { reported.unwrap_or(0) };
+                entry::Candidate { record, demand }
             })
             .collect();
         entry::answer(&candidates, failure_domain, &mut self.rng)
     }
 
     /// Smoothed demand, by group name and tier.
-    fn wanted(&self) -> BTreeMap<String, TierDemand> {
+    fn demand_by_group(&self) -> BTreeMap<String, TierDemand> {
         let all = self.groups.iter();
         let busy = all.map(|(key, g)| (self.index.group(*key).name.clone(), g.demand.get()));
         busy.filter(|(_, w)| *w != TierDemand::default()).collect()
--- a/core/src/node/orders.rs
+++ b/core/src/node/orders.rs
@@ -43,6 +43,7 @@
 }
 
 impl Node {
+    /// Records the deployment that an upstream reports.
     pub(super) fn on_deployed(&mut self, name: &str, deployment: Deployment) {
         let known = self.upstream_by_name.get(name).and_then(|k| self.upstreams.get(*k));
         let Some(group) = known.map(|u| u.group) else {
@@ -70,9 +71,9 @@
     /// Whether this router tries to get the group's lease. The choice of one candidate only saves
     /// writes; the lease ensures that a single router gives orders.
     fn is_candidate(&self, group: &str) -> bool {
-        let open = self.members.all().filter(|r| r.accepts_callers());
+        let candidates = self.members.all().filter(|r| r.accepts_callers());
         let distance = |name: &str| rendezvous::distance(group, name, 1.0);
-        let nearest = open.min_by(|a, b| distance(&a.name).total_cmp(&distance(&b.name)));
+        let nearest = candidates.min_by(|a, b| distance(&a.name).total_cmp(&distance(&b.name)));
         nearest.is_some_and(|r| r.name == self.settings.name)
     }
 
@@ -141,6 +142,7 @@
         }
     }
 
+    /// Handles the result of an order.
     pub(super) fn on_ordered(&mut self, now: Time, name: &str, result: OrderResult) {
         for orders in self.orders.values_mut() {
             let Some(at) = orders.sent.get_mut(name) else {
--- a/core/src/node/peers.rs
+++ b/core/src/node/peers.rs
@@ -14,7 +14,7 @@
     /// Sends this router's demand to the routers that share a group with it, with the names of
     /// upstreams that were found to be leaving.
     pub(super) fn send_demand(&mut self, now: Time, leaving: Vec<String>) {
-        let wanted = self.wanted();
+        let wanted = self.demand_by_group();
         let used = self.usage_by_org(now);
         let demand = Demand { wanted, used, leaving };
         let peers = self.sharing_peers();
@@ -33,6 +33,7 @@
         }
     }
 
+    /// Handles the demand of a peer and the names of leaving upstreams in it.
     pub(super) fn on_demand(&mut self, now: Time, from: &str, demand: Demand) {
         self.demands.receive(now, from, demand.wanted);
         for (name, (requests, tokens)) in demand.used {
@@ -50,6 +51,7 @@
         }
     }
 
+    /// Handles a message of a peer.
     pub(super) fn on_peer(&mut self, now: Time, from: &str, incarnation: u64, message: Message) {
         let known = self.members.get(from).map_or(0, |r| r.incarnation);
         if from == self.settings.name || incarnation < known {
--- a/core/src/node/request.rs
+++ b/core/src/node/request.rs
@@ -145,6 +145,7 @@
 }
 
 impl Node {
+    /// Handles a request of a caller.
     pub(super) fn on_request(&mut self, now: Time, id: RequestId, submission: Box<Submission>) {
         if self.config_version() == 0 || !self.stopping.accepts_requests() {
             self.finish_caller(id, not_run(Reason::NotServing, DEFAULT_RETRY_AFTER));
@@ -173,6 +174,7 @@
         }
     }
 
+    /// Looks up the class, organisation and group of a submission.
     fn resolve(&self, s: &Submission) -> Result<Resolved, Reason> {
         let index = &self.index;
         let org = index.organisation_of_key(&s.key).ok_or(Reason::UnknownKey)?;
@@ -192,6 +194,7 @@
         Ok(Resolved { flow: Flow { class, rule, org, weight }, group })
     }
 
+    /// Queues a request if its group can start it in time and the organisation is within its limit.
     fn admit(
         &mut self,
         now: Time,
@@ -280,7 +283,8 @@
         }
     }
 
-    /// Queues a request, ahead of its flow if it was already dispatched once.
+    /// Queues a request: at the front of its flow if it was already dispatched once, otherwise at
+    /// the end.
     pub(super) fn enqueue(&mut self, key: Key<Request>, deadline: Time) {
         let Some(r) = self.requests.get(key) else {
             return;
--- a/core/src/node/stop.rs
+++ b/core/src/node/stop.rs
@@ -37,8 +37,9 @@
     Leaving(Time),
     /// No new requests are accepted; those in progress finish.
     Draining,
-    /// The keys are being sent to the successor; `open` are the homes that it has not confirmed.
-    HandingOver { successor: String, began: Time, sent: Time, open: Vec<String> },
+    /// The keys are being sent to the successor; `unconfirmed` are the homes that
+    /// the successor has not confirmed.
+    HandingOver { successor: String, started: Time, sent: Time, unconfirmed: Vec<String> },
     /// The stop is complete; the process exits at the given time.
     Done(Time),
     /// [`Action::Exit`] was returned.
@@ -81,8 +82,8 @@
                     self.begin_hand_over(now);
                 }
             }
-            Phase::HandingOver { successor, began, sent, open } => {
-                self.continue_hand_over(now, successor, began, sent, open);
+            Phase::HandingOver { successor, started, sent, unconfirmed } => {
+                self.continue_hand_over(now, successor, started, sent, unconfirmed);
             }
             Phase::Done(at) => {
                 if now >= at {
@@ -99,8 +100,8 @@
     /// because two owners of a key could both run its request.
     fn begin_hand_over(&mut self, now: Time) {
         let own = self.members.own().name.clone();
-        let open = self.members.live().filter(|r| r.accepts_callers());
-        let nearest = open.min_by(|a, b| {
+        let candidates = self.members.live().filter(|r| r.accepts_callers());
+        let nearest = candidates.min_by(|a, b| {
             let distance = |name: &str| crate::rendezvous::distance(&own, name, 1.0);
             distance(&a.name).total_cmp(&distance(&b.name))
         });
@@ -109,10 +110,10 @@
             return;
         };
         let parts = self.table.hand_over(now, PART_BYTES);
-        let mut open: Vec<String> = parts.iter().map(|p| p.home.clone()).collect();
-        open.dedup();
+        let mut unconfirmed: Vec<String> = parts.iter().map(|p| p.home.clone()).collect();
+        unconfirmed.dedup();
         self.send_parts(&successor, parts);
-        self.stopping = Phase::HandingOver { successor, began: now, sent: now, open };
+        self.stopping = Phase::HandingOver { successor, started: now, sent: now, unconfirmed };
     }
 
     fn send_parts(&mut self, successor: &str, parts: Vec<Handover>) {
@@ -129,15 +130,15 @@
         &mut self,
         now: Time,
         successor: String,
-        began: Time,
+        started: Time,
         sent: Time,
-        open: Vec<String>,
+        unconfirmed: Vec<String>,
     ) {
-        if open.is_empty() {
+        if unconfirmed.is_empty() {
             self.end_stop(now);
             return;
         }
-        if now.since(began) >= HAND_OVER_TIMEOUT {
+        if now.since(started) >= HAND_OVER_TIMEOUT {
             // Other routers answer `outcome_unknown` for keys of this home from now on.
             let line = Line::new("hand_over_failed").with("successor", successor);
             self.out.push(Action::Log(line));
@@ -146,16 +147,16 @@
         }
         if now.since(sent) >= RESEND_INTERVAL {
             let mut parts = self.table.hand_over(now, PART_BYTES);
-            parts.retain(|p| open.contains(&p.home));
+            parts.retain(|p| unconfirmed.contains(&p.home));
             self.send_parts(&successor, parts);
-            self.stopping = Phase::HandingOver { successor, began, sent: now, open };
+            self.stopping = Phase::HandingOver { successor, started, sent: now, unconfirmed };
         }
     }
 
     /// Records that the successor has confirmed the keys of `home`.
     pub(super) fn on_table_taken(&mut self, home: &str) {
-        if let Phase::HandingOver { open, .. } = &mut self.stopping {
-            open.retain(|h| h != home);
+        if let Phase::HandingOver { unconfirmed, .. } = &mut self.stopping {
+            unconfirmed.retain(|h| h != home);
         }
     }
 
--- a/core/src/node/upstreams.rs
+++ b/core/src/node/upstreams.rs
@@ -41,8 +41,8 @@
         }
         // A new address means another process, so the state of the old one does not apply.
         let slots = self.index.group(group).slots;
-        let tie = rendezvous::hash(&[self.settings.name.as_bytes(), entry.name.as_bytes()]);
-        let key = self.upstreams.insert(Upstream::new(entry, group, slots, tie as u32));
+        let tie_breaker = rendezvous::hash(&[self.settings.name.as_bytes(), entry.name.as_bytes()]);
+        let key = self.upstreams.insert(Upstream::new(entry, group, slots, tie_breaker as u32));
         self.upstream_by_name.insert(entry.name.clone(), key);
         self.groups.entry(group).or_default().pool.members.insert(key);
     }
@@ -72,6 +72,7 @@
         }
     }
 
+    /// Records a load report, and dispatches requests that the group can now run.
     pub(super) fn on_load(&mut self, now: Time, name: &str, load: Load) {
         let Some(key) = self.upstream_by_name.get(name).copied() else {
             return;
--- a/core/src/node/versions.rs
+++ b/core/src/node/versions.rs
@@ -21,7 +21,8 @@
 const MAX_SHARDS_PER_REQUEST: usize = 2_048;
 
 impl Node {
-    /// Asks a peer for its root if its gossip contains a newer version.
+    /// Handles the configuration version in a peer's gossip, and asks the peer for its root if the
+    /// version is newer.
     pub(super) fn on_gossip(&mut self, now: Time, from: &str, gossip: &Gossip) {
         if self.members.own().state == State::Joining {
             self.control.received_versions.insert(from.to_owned(), gossip.version);
--- a/core/src/upstream.rs
+++ b/core/src/upstream.rs
@@ -39,14 +39,15 @@
 /// Cost of a replica in another failure domain, in requests per slot.
 const OTHER_DOMAIN_COST: f64 = 0.05;
 /// Upper bound on the corrected load that urgent requests may cause, as a multiple of the slots.
-const MAX_URGENT_LOAD: f64 = 2.5;
+const MAX_URGENT_LOAD_PER_SLOT: f64 = 2.5;
 /// Waiting requests, as a share of the slots, above which a replica gets only urgent requests.
-const MAX_WAITING: f64 = 1.0;
+const MAX_WAITING_PER_SLOT: f64 = 1.0;
 
 /// Position of a replica in its pool's order, and the slots counted for it in the layout.
 #[derive(Clone, Copy, Debug)]
 struct Rank {
-    load: u32,
+    /// Cost in thousandths.
+    cost: u32,
     slots: u32,
 }
 
@@ -65,7 +66,7 @@
     pub slots: u32,
     /// Attempts of this router in progress at the replica.
     pub outstanding: u32,
-    /// Upper bound on them for ordinary requests, by this router's slice.
+    /// Upper bound on outstanding attempts of ordinary requests, by this router's slice.
     pub max_outstanding: u32,
     /// Whether the replica is leaving and gets no new requests.
     pub leaving: bool,
@@ -128,7 +129,7 @@
     }
 
     /// Records whether the platform's host list contains the replica as leaving. The list lags, so
-    /// its absence does not revoke a hint that is younger than [`LEAVING_HINT_TTL`].
+    /// a replica that is not on it stays leaving for [`LEAVING_HINT_TTL`] after a hint.
     pub fn set_listed_leaving(&mut self, now: Time, listed: bool) {
         let has_hint = self.leaving_hint.is_some_and(|at| now.since(at) < LEAVING_HINT_TTL);
         self.leaving = listed || has_hint;
@@ -177,7 +178,8 @@
         fresh.then_some(self.reported_waiting)
     }
 
-    /// Ratio of its time between tokens to the median of the group, at least 1.
+    /// Ratio of the replica's time between tokens to the median of the group; 1 if the replica is
+    /// not clearly slower.
     pub fn slowness(&self) -> f64 {
         self.slowness
     }
@@ -198,9 +200,9 @@
 
     /// Whether this router may send an ordinary request.
     fn has_slot(&self, now: Time) -> bool {
-        let congested = f64::from(self.slots) * MAX_WAITING;
-        let waiting = self.waiting(now).is_some_and(|w| f64::from(w) > congested);
-        self.outstanding < self.max_outstanding && !waiting
+        let max_waiting = f64::from(self.slots) * MAX_WAITING_PER_SLOT;
+        let congested = self.waiting(now).is_some_and(|w| f64::from(w) > max_waiting);
+        self.outstanding < self.max_outstanding && !congested
     }
 
     /// Whether new requests may be sent to the replica.
@@ -236,12 +238,12 @@
         };
         let before = up.rank.take();
         if let Some(rank) = before {
-            self.ranked.remove(&(rank.load, up.tie_breaker, key));
+            self.ranked.remove(&(rank.cost, up.tie_breaker, key));
         }
         if up.is_usable(now) {
-            let load = (up.cost(now) * 1000.0) as u32;
-            up.rank = Some(Rank { load, slots: up.slots });
-            self.ranked.insert((load, up.tie_breaker, key));
+            let cost = (up.cost(now) * 1000.0) as u32;
+            up.rank = Some(Rank { cost, slots: up.slots });
+            self.ranked.insert((cost, up.tie_breaker, key));
         }
         self.layout_stale |= before.map(|r| r.slots) != up.rank.map(|r| r.slots);
     }
@@ -278,12 +280,12 @@
         if total == 0 {
             return;
         }
-        let places = total as f64 * headroom;
-        let (from, to) = ((slice.start * places).ceil(), (slice.end * places).ceil());
+        let slots = total as f64 * headroom;
+        let (from, to) = ((slice.start * slots).ceil(), (slice.end * slots).ceil());
         let (from, to) = (from as usize, (to as usize).max(from as usize + 1));
         self.max_outstanding = (to - from) as u32;
-        for place in from..to {
-            let key = self.layout[place % total];
+        for slot in from..to {
+            let key = self.layout[slot % total];
             if let Some(up) = arena.get_mut(key) {
                 if up.max_outstanding == 0 {
                     self.assigned.push(key);
@@ -332,16 +334,16 @@
         if let Some(up) = arena.get(key)
             && let Some(rank) = up.rank
         {
-            self.ranked.remove(&(rank.load, up.tie_breaker, key));
+            self.ranked.remove(&(rank.cost, up.tie_breaker, key));
         }
     }
 
     /// Whether another replica may be ejected: at most a third of the group, and never the last
     /// usable one.
     pub fn may_eject(&self, arena: &Arena<Upstream>) -> bool {
-        let out =
+        let suspended =
             self.members.iter().filter_map(|k| arena.get(*k)).filter(|u| u.outlier.is_suspended());
-        (out.count() + 1) * 3 <= self.members.len().max(3) && self.ranked.len() > 1
+        (suspended.count() + 1) * 3 <= self.members.len().max(3) && self.ranked.len() > 1
     }
 
     /// Updates the slowness of all replicas: the time between tokens relative to the median.
@@ -404,7 +406,8 @@
         criteria: &Criteria<'_>,
     ) -> Option<Key<Upstream>> {
         let has_capacity = |k: &Key<Upstream>| {
-            let full = |u: &Upstream| u.load(now) + 1.0 > f64::from(u.slots) * MAX_URGENT_LOAD;
+            let full =
+                |u: &Upstream| u.load(now) + 1.0 > f64::from(u.slots) * MAX_URGENT_LOAD_PER_SLOT;
             !criteria.excluded.contains(k)
                 && arena.get(*k).is_some_and(|u| u.is_usable(now) && !full(u))
         };
