--- a/core/src/cell.rs
+++ b/core/src/cell.rs
@@ -1,8 +1,9 @@
 //! Cells: which routers serve which group, in a large fleet.
 //!
 //! If every router used every replica, each would tell its demand to all others, and a replica's
-//! slots would be cut into slivers. In a fleet over [`SMALL`], the routers nearest to a group by
-//! rendezvous hashing are its cell, in number by the group's part of all slots. Callers are sent
+//! slots would be cut into slivers. In a fleet over [`MAX_ROUTERS_WITHOUT_CELLS`], the routers
+//! nearest to a group by rendezvous hashing are its cell, in number by the group's part of all
+//! slots. Callers are sent
 //! to the cell of their model, and demand stays within it. A router outside still serves who comes
 //! to it, with one slot.
 
--- a/core/src/gateway/gaps.rs
+++ b/core/src/gateway/gaps.rs
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Multiplies the counts by `factor`, but not below the weight of [`HALF_LIFE_GAPS`] gaps, so
+    /// Multiplies the counts by `factor`, but not below the weight of `HALF_LIFE_GAPS` gaps, so
     /// that the histogram stays in use.
     pub fn decay(&mut self, factor: f64) {
         let min_factor = HALF_LIFE_GAPS * self.next_weight / self.total.max(self.next_weight);
--- a/core/src/gateway/usage.rs
+++ b/core/src/gateway/usage.rs
@@ -245,7 +245,7 @@
     }
 
     /// The newest window for which any leader may have sent a report by `wall`, taking into account
-    /// [`CLOCK_ERROR`].
+    /// `CLOCK_ERROR`.
     pub fn last_possibly_reported(&self, wall: WallTime) -> Window {
         let current = self.schedule.window_at(wall + CLOCK_ERROR.0);
         let oldest = current.saturating_sub(WINDOWS_KEPT);
--- a/core/src/order.rs
+++ b/core/src/order.rs
@@ -3,12 +3,12 @@
 //! The lease is a value in the key-value service; who writes it last holds it. Each write has a
 //! higher revision than all before, which is the fencing number of the orders given under it. Its
 //! lapse needs no common clock: another router takes the lease over after it has seen the same
-//! revision for [`LAPSE`] of its own time, and the holder stops [`HOLD`] after it sent its last
-//! renewal, which is earlier.
+//! revision for [`LEASE_EXPIRY`] of its own time, and the holder stops [`LEASE_VALIDITY`] after it
+//! sent its last renewal, which is earlier.
 //!
 //! A holder that was paused and still believes in its lease may send an order late. Upstreams that
-//! check fencing numbers refuse it. For those that ignore them, a new holder waits [`DELAY`] more,
-//! the longest that an order may be on its way.
+//! check fencing numbers refuse it. For those that ignore them, a new holder waits
+//! [`MAX_ORDER_DELAY`] more, the longest that an order may be on its way.
 
 use serde::Deserialize;
 use serde::Serialize;
