--- a/core/src/idempotency.rs
+++ b/core/src/idempotency.rs
@@ -1,10 +1,10 @@
-//! Requests that may run at most once: the table of keys whose home is this router.
+//! Deduplicates requests that may run at most once, by idempotency keys whose home is this router.
 //!
-//! A key is `{router}.{incarnation}.{epoch}~{suffix}`. An entry answer gives, for each address, everything up to the
-//! tilde, so every key names the one incarnation that may run it; there is no second owner to
-//! fence. Keys of an epoch are kept until the epoch is over and one more has passed, then
-//! forgotten together; a key of a forgotten epoch is refused, never run. That is what makes
-//! "forgotten" safe: a message delayed past the memory of the table can't run a second time.
+//! A key is `{router}.{incarnation}.{epoch}~{suffix}`. An entry answer gives, for each address,
+//! the part up to the tilde, so each key names the one incarnation that may run its request and no
+//! other owner has to be fenced. The keys of an epoch are kept for one more epoch and are then
+//! deleted together. A key of a deleted epoch is refused, so a message that is delayed beyond the
+//! retention of its key never runs a second time.
 
 use std::collections::BTreeMap;
 
@@ -18,33 +18,35 @@
 use crate::time::Span;
 use crate::time::Time;
 
-/// Length of an epoch. A key is good for one to two epochs.
+/// Length of an epoch. A key is valid for one to two epochs.
 pub const EPOCH_LENGTH: Span = Span::secs(600);
-/// Most keys remembered.
+/// Upper bound on keys in the table.
 pub const MAX_KEYS: usize = 100_000;
-/// Most bytes of answers remembered.
+/// Upper bound on the bytes of all stored answers.
 pub const MAX_ANSWER_BYTES: usize = 64 << 20;
+/// Upper bound on the length of a key's suffix.
 const MAX_SUFFIX_BYTES: usize = 128;
+/// Upper bound on the waiters for one request.
 const MAX_WAITERS: usize = 16;
 
-/// What an `Idempotency-Key` begins with.
+/// Prefix of the idempotency keys of a home and epoch.
 pub fn prefix(home: &str, epoch: u32) -> String {
     format!("{home}.{epoch:x}~")
 }
 
-/// A parsed `Idempotency-Key`.
+/// A parsed `Idempotency-Key` header.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Key {
-    /// Home: name and incarnation of the owner.
+    /// Name and incarnation of the router that may run the request.
     pub home: String,
-    /// Epoch of the home in which the prefix was given out.
+    /// Epoch of the home in which the prefix was issued.
     pub epoch: u32,
-    /// The caller's own part.
+    /// Part of the key that the caller chose.
     pub suffix: String,
 }
 
 impl Key {
-    /// Reads a key; `None` if it does not have the form of an entry answer's prefix and a suffix.
+    /// Parses a key; `None` if it is not a prefix of an entry answer followed by a suffix.
     pub fn parse(text: &str) -> Option<Key> {
         let (prefix, suffix) = text.split_once('~')?;
         let (home, epoch) = prefix.rsplit_once('.')?;
@@ -56,16 +58,16 @@
     }
 }
 
-/// Who waits for the end of a keyed request.
+/// Recipient of the outcome of a request with a key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Waiter {
     /// A caller of this router.
     Caller(RequestId),
-    /// A caller of the router at this peer address.
+    /// A caller of another router, which forwarded the request.
     Peer {
-        /// Peer address.
+        /// Peer address of that router.
         address: String,
-        /// Number of the request there.
+        /// Number of the request at that router.
         request: RequestId,
     },
 }
@@ -76,7 +78,7 @@
     Done { digest: [u8; 32], outcome: Outcome },
 }
 
-/// A finished key as it is handed over.
+/// A key with the outcome of its request, as handed over to a successor.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Finished {
     epoch: u32,
@@ -85,20 +87,20 @@
     outcome: Outcome,
 }
 
-/// One part of a home's keys, for its successor.
+/// One part of the finished keys of a home, sent to its successor.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Handover {
     /// The home.
     pub home: String,
-    /// Its last epoch.
+    /// Last epoch of the home.
     pub epoch: u32,
-    /// Time since that epoch began, in microseconds.
+    /// Time since the start of that epoch, in microseconds.
     pub age: u64,
     /// Number of this part, from 0.
     pub part: u32,
     /// Number of parts.
     pub parts: u32,
-    /// Keys of this part.
+    /// Finished keys of this part.
     pub keys: Vec<Finished>,
 }
 
@@ -106,32 +108,33 @@
 struct Home {
     /// Current epoch.
     epoch: u32,
-    began: Time,
-    /// No prefix of a later epoch than this was ever given out; `None` while it still gives.
-    last: Option<u32>,
+    epoch_start: Time,
+    /// Last epoch for which a prefix was issued; `None` while this router issues prefixes of the
+    /// home.
+    last_epoch: Option<u32>,
     keys: BTreeMap<(u32, String), Entry>,
 }
 
 #[derive(Debug)]
 struct Incoming {
     parts: BTreeMap<u32, Vec<Finished>>,
-    began: Time,
+    first_received: Time,
 }
 
-/// What to do with a submission that has a key.
+/// Result of the lookup of a submission with a key.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Admission {
-    /// Run it; the table waits for its end.
+    /// The request must run; the table has recorded it as running.
     Run,
-    /// The same submission is in progress; the waiter was added.
+    /// The same submission is running; the waiter was added.
     Join,
-    /// It has ended; this is the answer.
+    /// The same submission has finished with this outcome.
     Replay(Outcome),
-    /// It must not run. `true` if it certainly never did.
+    /// The request must not run. `true` if it is certain that it has not run before.
     Refuse(Reason, bool),
 }
 
-/// Keys of this incarnation and of those it has taken over, in bounded memory.
+/// Keys of this incarnation and of the homes that it has taken over, in bounded memory.
 #[derive(Debug)]
 pub struct Table {
     own: String,
@@ -141,6 +144,7 @@
     frozen: bool,
 }
 
+/// Size of an outcome against [`MAX_ANSWER_BYTES`].
 fn answer_bytes(outcome: &Outcome) -> usize {
     match outcome {
         Outcome::Whole { text, .. } => text.len(),
@@ -149,14 +153,14 @@
 }
 
 impl Table {
-    /// The table of the incarnation whose keys begin with `own`.
+    /// Creates the table of the incarnation whose keys begin with `own`.
     pub fn new(own: String, now: Time) -> Table {
-        let home = Home { epoch: 1, began: now, last: None, keys: BTreeMap::new() };
+        let home = Home { epoch: 1, epoch_start: now, last_epoch: None, keys: BTreeMap::new() };
         let homes = BTreeMap::from([(own.clone(), home)]);
         Table { own, homes, incoming: BTreeMap::new(), bytes: 0, frozen: false }
     }
 
-    /// Whether this router runs keys of `home`.
+    /// Whether this router may run requests with keys of `home`.
     pub fn owns(&self, home: &str) -> bool {
         self.homes.contains_key(home)
     }
@@ -166,30 +170,30 @@
         self.homes.get(&self.own).map_or(0, |h| h.epoch)
     }
 
-    /// Keys remembered.
+    /// Number of keys in the table.
     pub fn len(&self) -> usize {
         self.homes.values().map(|h| h.keys.len()).sum()
     }
 
-    /// Whether no key is remembered.
+    /// Whether the table has no keys.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Keys in progress.
+    /// Number of keys whose requests are running.
     pub fn running_count(&self) -> usize {
         let all = self.homes.values().flat_map(|h| h.keys.values());
         all.filter(|e| matches!(e, Entry::Running { .. })).count()
     }
 
-    /// Looks a submission up and, if it may run, notes that it does.
+    /// Looks up a submission and, if it may run, records it as running.
     pub fn begin(&mut self, key: &Key, digest: [u8; 32], waiter: Waiter) -> Admission {
         let full = self.len() >= MAX_KEYS || self.bytes >= MAX_ANSWER_BYTES;
         let Some(home) = self.homes.get_mut(&key.home) else {
             return Admission::Refuse(Reason::HomeGone, false);
         };
-        let slot = (key.epoch, key.suffix.clone());
-        match home.keys.get_mut(&slot) {
+        let entry_key = (key.epoch, key.suffix.clone());
+        match home.keys.get_mut(&entry_key) {
             Some(Entry::Running { digest: d, .. } | Entry::Done { digest: d, .. })
                 if *d != digest =>
             {
@@ -207,7 +211,7 @@
                 Admission::Join
             }
             None => {
-                let newest = home.last.unwrap_or(home.epoch);
+                let newest = home.last_epoch.unwrap_or(home.epoch);
                 if key.epoch > newest || key.epoch + 1 < home.epoch {
                     return Admission::Refuse(Reason::KeyExpired, false);
                 }
@@ -218,21 +222,21 @@
                     return Admission::Refuse(Reason::KeyTableFull, true);
                 }
                 let waiters = vec![waiter];
-                home.keys.insert(slot, Entry::Running { digest, waiters });
+                home.keys.insert(entry_key, Entry::Running { digest, waiters });
                 Admission::Run
             }
         }
     }
 
-    /// Notes the end of a running key and returns who waits for it.
+    /// Records the outcome of a running request and returns its waiters.
     ///
-    /// A request that did not run leaves no trace, so a retry may run.
+    /// The key of a request that did not run is deleted, so that a retry may run.
     pub fn finish(&mut self, key: &Key, outcome: &Outcome) -> Vec<Waiter> {
         let Some(home) = self.homes.get_mut(&key.home) else {
             return Vec::new();
         };
-        let slot = (key.epoch, key.suffix.clone());
-        let Some(Entry::Running { digest, waiters }) = home.keys.remove(&slot) else {
+        let entry_key = (key.epoch, key.suffix.clone());
+        let Some(Entry::Running { digest, waiters }) = home.keys.remove(&entry_key) else {
             return Vec::new();
         };
         let ran = !matches!(
@@ -241,51 +245,52 @@
         );
         if ran {
             self.bytes += answer_bytes(outcome);
-            home.keys.insert(slot, Entry::Done { digest, outcome: outcome.clone() });
+            home.keys.insert(entry_key, Entry::Done { digest, outcome: outcome.clone() });
         }
         waiters
     }
 
-    /// Moves epochs on and forgets keys of old ones; `true` if this incarnation's epoch changed.
+    /// Advances the epochs and deletes the keys of expired ones, except those of running requests;
+    /// `true` if this incarnation's epoch changed.
     pub fn tick(&mut self, now: Time) -> bool {
         let before = self.epoch();
-        let mut freed = 0;
+        let mut freed_bytes = 0;
         for home in self.homes.values_mut() {
-            while now.since(home.began) >= EPOCH_LENGTH {
-                home.began = home.began + EPOCH_LENGTH;
+            while now.since(home.epoch_start) >= EPOCH_LENGTH {
+                home.epoch_start = home.epoch_start + EPOCH_LENGTH;
                 home.epoch += 1;
                 let epoch = home.epoch;
                 home.keys.retain(|(e, _), entry| {
                     let keep = e + 1 >= epoch || matches!(entry, Entry::Running { .. });
                     if let (false, Entry::Done { outcome, .. }) = (keep, &*entry) {
-                        freed += answer_bytes(outcome);
+                        freed_bytes += answer_bytes(outcome);
                     }
                     keep
                 });
             }
         }
-        self.bytes = self.bytes.saturating_sub(freed);
+        self.bytes = self.bytes.saturating_sub(freed_bytes);
         let own = self.own.clone();
         self.homes.retain(|name, home| {
-            let spent = home.last.is_some_and(|last| home.epoch > last + 1);
-            *name == own || !spent || !home.keys.is_empty()
+            let is_expired = home.last_epoch.is_some_and(|last| home.epoch > last + 1);
+            *name == own || !is_expired || !home.keys.is_empty()
         });
-        self.incoming.retain(|_, a| now.since(a.began) < EPOCH_LENGTH);
+        self.incoming.retain(|_, a| now.since(a.first_received) < EPOCH_LENGTH);
         self.epoch() != before
     }
 
-    /// Lets no new key begin, for good: from here on a successor may own the keys.
+    /// Refuses all new keys from now on, because a successor may own the keys.
     pub fn freeze(&mut self) {
         self.frozen = true;
     }
 
-    /// Whether no new key begins here any more.
+    /// Whether new keys are refused because of a handover.
     pub fn is_frozen(&self) -> bool {
         self.frozen
     }
 
-    /// The finished keys of all homes, in parts of at most `most` answer bytes each.
-    pub fn hand_over(&self, now: Time, most: usize) -> Vec<Handover> {
+    /// The finished keys of all homes, in parts of about `max_part_bytes` each.
+    pub fn hand_over(&self, now: Time, max_part_bytes: usize) -> Vec<Handover> {
         let mut all = Vec::new();
         for (name, home) in &self.homes {
             let mut parts = vec![Vec::new()];
@@ -296,7 +301,7 @@
                 };
                 let (suffix, outcome) = (suffix.clone(), outcome.clone());
                 size += answer_bytes(&outcome) + suffix.len() + 64;
-                if size > most {
+                if size > max_part_bytes {
                     parts.push(Vec::new());
                     size = 0;
                 }
@@ -309,7 +314,7 @@
             all.extend(parts.into_iter().enumerate().map(|(i, keys)| Handover {
                 home: name.clone(),
                 epoch: home.epoch,
-                age: now.since(home.began).0,
+                age: now.since(home.epoch_start).0,
                 part: i as u32,
                 parts: count,
                 keys,
@@ -318,10 +323,10 @@
         all
     }
 
-    /// Takes one part of a stopping router's keys in; `true` once all are here and owned.
+    /// Adds one part of the keys of a stopping router; `true` once this router owns the home.
     ///
-    /// Nothing is owned before every part has arrived: a key that is still missing would look
-    /// new, and run a second time.
+    /// The home is owned only after all parts have arrived: a request whose key is in a missing
+    /// part would be taken for a new one and run a second time.
     pub fn take_over(&mut self, now: Time, part: Handover) -> bool {
         if self.homes.contains_key(&part.home) {
             return true;
@@ -329,21 +334,21 @@
         let incoming = self
             .incoming
             .entry(part.home.clone())
-            .or_insert_with(|| Incoming { parts: BTreeMap::new(), began: now });
+            .or_insert_with(|| Incoming { parts: BTreeMap::new(), first_received: now });
         incoming.parts.insert(part.part, part.keys);
         if (incoming.parts.len() as u64) < u64::from(part.parts) {
             return false;
         }
-        let Some(arrived) = self.incoming.remove(&part.home) else {
+        let Some(complete) = self.incoming.remove(&part.home) else {
             return false;
         };
         let mut home = Home {
             epoch: part.epoch,
-            began: now - Span(part.age),
-            last: Some(part.epoch),
+            epoch_start: now - Span(part.age),
+            last_epoch: Some(part.epoch),
             keys: BTreeMap::new(),
         };
-        for finished in arrived.parts.into_values().flatten() {
+        for finished in complete.parts.into_values().flatten() {
             self.bytes += answer_bytes(&finished.outcome);
             let Finished { epoch, suffix, digest, outcome } = finished;
             home.keys.insert((epoch, suffix), Entry::Done { digest, outcome });
@@ -353,7 +358,7 @@
     }
 }
 
-/// What a retry must share with the first submission: who asks, for what, with which body.
+/// Digest of the organisation, target and body, which a retry must share with the first submission.
 pub fn digest(organisation: &str, target: &str, body: &Bytes) -> [u8; 32] {
     let mut hasher = blake3::Hasher::new();
     for part in [organisation.as_bytes(), target.as_bytes(), body] {
