--- a/core/src/member.rs
+++ b/core/src/member.rs
@@ -1,10 +1,10 @@
-//! Membership: which routers there are, and which of them callers may be sent to.
+//! Tracks the membership of the fleet: its routers, and which of them accept callers.
 //!
-//! Every router is probed by the two routers before it in a ring of hashed names, so that a dead
-//! one is noticed within a bounded time at any fleet size, and by one random router for repair.
-//! Changes are sent on at once to a few random routers and ride on probes. A router that does not
-//! answer is dialled anew before it is suspected, and suspected before it is dead; only its owner
-//! can clear it, with a higher version of its record.
+//! The protocol is similar to SWIM. Each router probes the next two routers in a ring of hashed
+//! names, so that a failure is detected within a bounded time at any fleet size, and one random
+//! router, so that differing tables are repaired. Changed records are sent to a few random routers
+//! at once and piggybacked on probes. A router that does not answer is redialled, then suspected,
+//! then declared dead; only the router itself can refute this, by a higher version of its record.
 
 mod detection;
 mod record;
@@ -28,32 +28,43 @@
 pub use self::record::Verdict;
 pub use self::record::home;
 
-/// Time between two rounds of probes.
+/// Interval between rounds of probes.
 pub const PROBE_INTERVAL: Span = Span::secs(1);
-/// A probe without an answer for this long is repeated over a new connection.
+/// Time without an answer after which a probe is repeated over a new connection.
 pub const REDIAL_TIMEOUT: Span = Span::millis(300);
-/// A probe without an answer for this long makes its target suspected.
+/// Time without an answer to a probe after which its target is suspected.
 pub const SUSPECT_TIMEOUT: Span = Span::millis(900);
-/// A suspected router that does not object for this long is dead.
+/// Time without a refutation after which a suspected router is declared dead.
 pub const DEATH_TIMEOUT: Span = Span::millis(2_500);
-/// Time after which a router that left or died is forgotten.
+/// Retention of the record of a router that left or died.
 pub const RETENTION: Span = Span::secs(7_200);
+/// Number of routers after this one in the ring that it probes in each round.
 const RING_TARGETS: usize = 2;
+/// Number of random routers that a change is sent to at once.
 const FANOUT: usize = 4;
+/// Number of probes and answers that carry a changed record.
 const MAX_PIGGYBACKS: u32 = 6;
+/// Upper bound on changed records of other routers in one probe or answer.
 const MAX_PIGGYBACKED_RECORDS: usize = 8;
+/// Interval between probes of dead routers, which end a partition.
 const DEAD_PROBE_INTERVAL: Span = Span::secs(5);
+/// Upper bound on other routers in the table.
 const MAX_MEMBERS: usize = 4_096;
+/// Upper bound on probes that are pending for other routers.
 const MAX_RELAYS: usize = 256;
+/// Shortest interval between requests for the whole table of a peer.
 const REPAIR_INTERVAL: Span = Span::secs(5);
 
 #[derive(Debug)]
 struct Member {
     record: Record,
-    since: Time,
+    /// Time of the last change of the record.
+    updated_at: Time,
+    /// Number of times that the record is still to be piggybacked.
     piggybacks: u32,
 }
 
+/// A probe of this router without an answer so far.
 #[derive(Clone, Debug)]
 struct PendingProbe {
     name: String,
@@ -61,21 +72,22 @@
     redialled: bool,
 }
 
-/// A probe as it arrived.
+/// A probe received from another router.
 #[derive(Debug)]
 pub struct ReceivedProbe {
-    /// Number to be repeated in the answer.
+    /// Sequence number to return in the answer.
     pub sequence: u64,
-    /// The asker has dialled anew.
+    /// Whether the sender opened a new connection for this probe.
     pub anew: bool,
-    /// What rode along.
+    /// Piggybacked gossip.
     pub gossip: Gossip,
 }
 
-/// A probe made for another router.
+/// A probe made on behalf of another router.
 #[derive(Debug)]
 struct Relay {
-    asker: String,
+    requester: String,
+    /// Sequence number of the requester's probe.
     sequence: u64,
     sent: Time,
 }
@@ -98,7 +110,7 @@
 }
 
 impl Members {
-    /// A table that holds only this router.
+    /// Creates a table that contains only this router.
     pub fn new(own: Record) -> Members {
         Members {
             own,
@@ -129,7 +141,7 @@
         self.others.get(name).map(|m| &m.record)
     }
 
-    /// All records but this router's, in name order.
+    /// Records of all other routers, in the order of their names.
     pub fn others(&self) -> impl Iterator<Item = &Record> + Clone {
         self.others.values().map(|m| &m.record)
     }
@@ -139,7 +151,7 @@
         std::iter::once(&self.own).chain(self.others())
     }
 
-    /// Live routers but this one.
+    /// Records of all other live routers.
     pub fn live(&self) -> impl Iterator<Item = &Record> + Clone {
         self.others().filter(|r| r.is_live())
     }
@@ -149,12 +161,12 @@
         self.changes
     }
 
-    /// Sets the configuration version that piggybacks on probes.
+    /// Sets the configuration version to gossip.
     pub fn set_config_version(&mut self, version: u64) {
         self.config_version = version;
     }
 
-    /// Changes this router's own record and sends the change on.
+    /// Changes this router's own record and disseminates it.
     pub fn update(
         &mut self,
         rng: &mut SmallRng,
@@ -164,11 +176,11 @@
         change(&mut self.own);
         self.own.version += 1;
         self.own_piggybacks = MAX_PIGGYBACKS;
-        let news = self.gossip_of(vec![self.own.clone()]);
-        self.broadcast(rng, out, news);
+        let gossip = self.gossip_of(vec![self.own.clone()]);
+        self.disseminate(rng, out, gossip);
     }
 
-    /// The live router that is the home of keys with this base.
+    /// The live router that owns the idempotency keys of the home `base`.
     pub fn find_home(&self, base: &str) -> Option<&Record> {
         let live = self.all().filter(|r| r.is_live());
         let mut live = live.filter(|r| r.home() == base || r.adopted.iter().any(|a| a == base));
@@ -179,7 +191,7 @@
         Gossip { records, version: self.config_version, digest: self.digest() }
     }
 
-    /// An order-free digest of all records.
+    /// Digest of all records, independent of their order.
     fn digest(&self) -> u64 {
         let each = self.all().map(|r| {
             let version = r.version.to_le_bytes();
@@ -189,38 +201,40 @@
         each.fold(0, |a, b| a ^ b)
     }
 
-    /// Records for a probe to `to`: recent changes, and what is held against `to` itself.
+    /// Gossip for a probe or answer to `to`: recent changes, and a suspicion of `to` itself, so
+    /// that it can refute it.
     fn gossip_for(&mut self, to: &str) -> Gossip {
         let mut records = Vec::new();
         if self.own_piggybacks > 0 {
             self.own_piggybacks -= 1;
             records.push(self.own.clone());
         }
-        let held = self.others.get(to).filter(|m| m.record.verdict != Verdict::Alive);
-        records.extend(held.map(|m| m.record.clone()));
-        let fresh = self.others.values_mut().filter(|m| m.piggybacks > 0 && m.record.name != to);
-        for member in fresh.take(MAX_PIGGYBACKED_RECORDS) {
+        let suspicion = self.others.get(to).filter(|m| m.record.verdict != Verdict::Alive);
+        records.extend(suspicion.map(|m| m.record.clone()));
+        let recent = self.others.values_mut().filter(|m| m.piggybacks > 0 && m.record.name != to);
+        for member in recent.take(MAX_PIGGYBACKED_RECORDS) {
             member.piggybacks -= 1;
             records.push(member.record.clone());
         }
         self.gossip_of(records)
     }
 
-    fn broadcast(&self, rng: &mut SmallRng, out: &mut Vec<Action>, news: Gossip) {
+    /// Sends gossip to a few random live routers.
+    fn disseminate(&self, rng: &mut SmallRng, out: &mut Vec<Action>, gossip: Gossip) {
         let live: Vec<&Record> = self.live().collect();
         for record in live.choose_multiple(rng, FANOUT) {
-            let message = Message::News(news.clone());
+            let message = Message::News(gossip.clone());
             out.push(Action::Send { address: record.peer_address.clone(), message });
         }
     }
 
-    /// Tells a few routers of the configuration version in force here.
+    /// Sends the version of the configuration in force to a few routers.
     pub fn announce_version(&self, rng: &mut SmallRng, out: &mut Vec<Action>) {
-        let news = self.gossip_of(Vec::new());
-        self.broadcast(rng, out, news);
+        let gossip = self.gossip_of(Vec::new());
+        self.disseminate(rng, out, gossip);
     }
 
-    /// Takes records in; changes are sent on, and lines logged.
+    /// Merges records and disseminates those that changed.
     pub fn merge(
         &mut self,
         now: Time,
@@ -228,68 +242,69 @@
         out: &mut Vec<Action>,
         records: Vec<Record>,
     ) {
-        let mut news = Vec::new();
+        let mut changed = Vec::new();
         for record in records {
             if record.name == self.own.name {
-                self.refute(&record, &mut news);
+                self.refute(&record, &mut changed);
                 continue;
             }
             if let Some(record) = self.merge_record(now, record, out) {
-                news.push(record);
+                changed.push(record);
             }
         }
-        if !news.is_empty() {
-            let gossip = self.gossip_of(news);
-            self.broadcast(rng, out, gossip);
+        if !changed.is_empty() {
+            let gossip = self.gossip_of(changed);
+            self.disseminate(rng, out, gossip);
         }
     }
 
-    /// A verdict against this router is cleared by a higher version of its own record.
-    fn refute(&mut self, claim: &Record, news: &mut Vec<Record>) {
-        if claim.incarnation != self.own.incarnation {
+    /// Refutes a suspicion of this router by a higher version of its own record.
+    fn refute(&mut self, suspicion: &Record, changed: &mut Vec<Record>) {
+        if suspicion.incarnation != self.own.incarnation {
             return;
         }
-        if claim.version >= self.own.version && claim.verdict != Verdict::Alive {
-            self.own.version = claim.version + 1;
+        if suspicion.version >= self.own.version && suspicion.verdict != Verdict::Alive {
+            self.own.version = suspicion.version + 1;
             self.own_piggybacks = MAX_PIGGYBACKS;
-            news.push(self.own.clone());
+            changed.push(self.own.clone());
         }
     }
 
+    /// Merges one record of another router; returns it if it replaces the stored one.
     fn merge_record(&mut self, now: Time, record: Record, out: &mut Vec<Action>) -> Option<Record> {
-        let known = self.others.get(&record.name);
-        if known.is_some_and(|m| record.precedence() <= m.record.precedence()) {
+        let existing = self.others.get(&record.name);
+        if existing.is_some_and(|m| record.precedence() <= m.record.precedence()) {
             return None;
         }
-        if known.is_none() && self.others.len() >= MAX_MEMBERS {
+        if existing.is_none() && self.others.len() >= MAX_MEMBERS {
             return None;
         }
-        let changed = known.is_none_or(|m| {
+        let is_changed = existing.is_none_or(|m| {
             (m.record.state, m.record.verdict) != (record.state, record.verdict)
                 || m.record.incarnation != record.incarnation
         });
-        if changed {
+        if is_changed {
             let line = Line::new("member_changed").with("member", &record.name);
             let line = line.with("state", record.state).with("verdict", record.verdict);
             out.push(Action::Log(line));
         }
         self.changes += 1;
-        let member = Member { record: record.clone(), since: now, piggybacks: MAX_PIGGYBACKS };
+        let member = Member { record: record.clone(), updated_at: now, piggybacks: MAX_PIGGYBACKS };
         self.others.insert(record.name.clone(), member);
         Some(record)
     }
 
-    /// The routers behind this one in the ring of hashed names.
+    /// The routers after this one in the ring of hashed names.
     fn ring_successors(&self) -> Vec<String> {
-        let place = |name: &str| rendezvous::hash(&[name.as_bytes()]);
-        let own = place(&self.own.name);
+        let position = |name: &str| rendezvous::hash(&[name.as_bytes()]);
+        let own = position(&self.own.name);
         let mut order: Vec<(u64, &str)> =
-            self.live().map(|r| (place(&r.name).wrapping_sub(own), r.name.as_str())).collect();
+            self.live().map(|r| (position(&r.name).wrapping_sub(own), r.name.as_str())).collect();
         order.sort_unstable();
         order.into_iter().take(RING_TARGETS).map(|(_, n)| n.to_owned()).collect()
     }
 
-    /// Sends due probes and judges those without an answer.
+    /// Sends due probes and evaluates those without an answer.
     pub fn tick(&mut self, now: Time, rng: &mut SmallRng, out: &mut Vec<Action>) {
         self.extend_deadlines(now);
         self.detect_failures(now, rng, out);
@@ -306,7 +321,8 @@
         }
         if now.since(self.last_dead_probe) >= DEAD_PROBE_INTERVAL {
             self.last_dead_probe = now;
-            // A partition makes each side bury the other; only a probe across can heal it.
+            // After a partition, each side takes the other for dead; only a probe of a dead router
+            // reunites them.
             let dead = self
                 .others
                 .values()
@@ -318,7 +334,7 @@
             self.probe(now, out, name);
         }
         let before = self.others.len();
-        self.others.retain(|_, m| m.record.is_live() || now.since(m.since) < RETENTION);
+        self.others.retain(|_, m| m.record.is_live() || now.since(m.updated_at) < RETENTION);
         self.changes += (before - self.others.len()) as u64;
         self.relays.retain(|_, r| now.since(r.sent) < DEATH_TIMEOUT);
     }
@@ -339,10 +355,11 @@
         self.probes.insert(sequence, PendingProbe { name, sent: now, redialled: false });
     }
 
-    /// Takes a probe in and answers it.
+    /// Answers a probe.
     ///
-    /// A connection can be silent one way only as well: the answer to a probe that was sent anew
-    /// goes over a new connection too, or the asker would judge this router by an old one.
+    /// A connection may lose messages in one direction only. The answer to a probe over a new
+    /// connection is therefore sent over a new connection too; over an old one it might be lost,
+    /// and the sender would suspect this router.
     pub fn on_probe(
         &mut self,
         now: Time,
@@ -364,7 +381,7 @@
         }
     }
 
-    /// Takes the answer to a probe in.
+    /// Handles the answer to a probe, and relays it if the probe was made for another router.
     pub fn on_answer(
         &mut self,
         now: Time,
@@ -375,9 +392,9 @@
         gossip: Gossip,
     ) {
         if let Some(relay) = self.relays.remove(&sequence)
-            && let Some(asker) = self.others.get(&relay.asker)
+            && let Some(requester) = self.others.get(&relay.requester)
         {
-            let address = asker.record.peer_address.clone();
+            let address = requester.record.peer_address.clone();
             let message = Message::Answer { sequence: relay.sequence, gossip: gossip.clone() };
             out.push(Action::Send { address, message });
         }
@@ -385,7 +402,7 @@
         let digest = gossip.digest;
         self.merge(now, rng, out, gossip.records);
         if digest != self.digest() && now.since(self.last_repair) >= REPAIR_INTERVAL {
-            // Gossip is lossy; tables that still differ are exchanged whole, at most this often.
+            // Piggybacked changes may be lost. Tables that still differ are exchanged as a whole.
             self.last_repair = now;
             if let Some(record) = self.get(from) {
                 let address = record.peer_address.clone();
@@ -395,28 +412,28 @@
         }
     }
 
-    /// Probes `address` for another router.
+    /// Probes `address` on behalf of another router.
     pub fn on_probe_for(
         &mut self,
         now: Time,
         out: &mut Vec<Action>,
-        asker: &str,
+        requester: &str,
         sequence: u64,
         address: String,
     ) {
-        let known = self.others.values().any(|m| m.record.peer_address == address);
-        if !known || self.relays.len() >= MAX_RELAYS {
+        let is_member = self.others.values().any(|m| m.record.peer_address == address);
+        if !is_member || self.relays.len() >= MAX_RELAYS {
             return;
         }
         self.sequence += 1;
-        let relay = Relay { asker: asker.to_owned(), sequence, sent: now };
+        let relay = Relay { requester: requester.to_owned(), sequence, sent: now };
         self.relays.insert(self.sequence, relay);
         let gossip = self.gossip_of(Vec::new());
         let message = Message::Probe { sequence: self.sequence, anew: false, gossip };
         out.push(Action::Send { address, message });
     }
 
-    /// Sends the whole table to a router that asks for it.
+    /// Sends the whole table to a router that requests it.
     pub fn on_ask_members(
         &mut self,
         now: Time,
@@ -430,13 +447,13 @@
         out.push(Action::Send { address, message });
     }
 
-    /// A random delay below `span`, to spread work of many routers.
+    /// A random delay below `span`, which spreads the work of many routers over time.
     pub fn jitter(rng: &mut SmallRng, span: Span) -> Span {
         Span(rng.random_range(0..span.0.max(1)))
     }
 }
 
-/// FNV-1a over `parts`; the digest is compared, not trusted.
+/// FNV-1a hash over `parts`, for comparison of tables; not resistant to deliberate collisions.
 fn fnv1a(parts: &[&[u8]]) -> u64 {
     let bytes = parts.iter().flat_map(|p| p.iter());
     let hash = bytes.fold(0xcbf2_9ce4_8422_2325, |h: u64, b| {
--- a/core/src/member/detection.rs
+++ b/core/src/member/detection.rs
@@ -1,4 +1,4 @@
-//! Judging peers by their probes: dialled anew, suspected, dead.
+//! Detects failed routers: redials, suspects and declares dead those that do not answer probes.
 
 use rand::rngs::SmallRng;
 use rand::seq::IndexedRandom;
@@ -15,36 +15,37 @@
 use crate::time::Span;
 use crate::time::Time;
 
-/// A tick that comes this long after the last one tells that this router stood still: many times
-/// the driver's 10 ms, and well below the time after which a probe is judged.
+/// Least time between two ticks that counts as a pause of this process: many times the driver's
+/// 10 ms, and well below [`SUSPECT_TIMEOUT`].
 const MIN_PAUSE: Span = Span::millis(300);
-/// Routers that repeat a probe for the one that had no answer.
-const HELPERS: usize = 2;
+/// Number of routers that are asked to repeat a probe without an answer.
+const RELAYS: usize = 2;
 
 impl Members {
-    /// Moves deadlines of peers by the time for which this router itself was frozen or starved:
-    /// their answers lie unread in its sockets, and judged by the clock they would be suspected,
-    /// or dead, for everyone.
+    /// Extends the deadlines of other routers by the time for which this process was paused.
+    /// Answers may lie unread in its sockets; without the extension, it would suspect sound
+    /// routers or declare them dead, and gossip that to all.
     pub(super) fn extend_deadlines(&mut self, now: Time) {
-        let gap = now.since(self.last_tick);
+        let pause = now.since(self.last_tick);
         self.last_tick = now;
-        if gap < MIN_PAUSE {
+        if pause < MIN_PAUSE {
             return;
         }
         for probe in self.probes.values_mut() {
-            probe.sent = probe.sent + gap;
+            probe.sent = probe.sent + pause;
         }
         for member in self.others.values_mut() {
             if member.record.verdict == Verdict::Suspect {
-                member.since = member.since + gap;
+                member.updated_at = member.updated_at + pause;
             }
         }
     }
 
+    /// Evaluates pending probes and suspected routers, and disseminates new verdicts.
     pub(super) fn detect_failures(&mut self, now: Time, rng: &mut SmallRng, out: &mut Vec<Action>) {
         let late = self.probes.iter().filter(|(_, p)| now.since(p.sent) >= REDIAL_TIMEOUT);
         let late: Vec<(u64, PendingProbe)> = late.map(|(s, p)| (*s, p.clone())).collect();
-        let mut news = Vec::new();
+        let mut changed = Vec::new();
         for (sequence, probe) in late {
             let Some(member) = self.others.get(&probe.name) else {
                 self.probes.remove(&sequence);
@@ -53,28 +54,29 @@
             if now.since(probe.sent) >= SUSPECT_TIMEOUT {
                 self.probes.remove(&sequence);
                 if member.record.verdict == Verdict::Alive {
-                    news.extend(self.set_verdict(now, &probe.name, Verdict::Suspect, out));
+                    changed.extend(self.set_verdict(now, &probe.name, Verdict::Suspect, out));
                 }
             } else if !probe.redialled {
                 self.retry_probe(sequence, rng, out);
             }
         }
         let suspects = self.others.values().filter(|m| {
-            m.record.verdict == Verdict::Suspect && now.since(m.since) >= DEATH_TIMEOUT
+            m.record.verdict == Verdict::Suspect && now.since(m.updated_at) >= DEATH_TIMEOUT
         });
-        let overdue: Vec<String> = suspects.map(|m| m.record.name.clone()).collect();
-        for name in overdue {
-            news.extend(self.set_verdict(now, &name, Verdict::Dead, out));
+        let unrefuted: Vec<String> = suspects.map(|m| m.record.name.clone()).collect();
+        for name in unrefuted {
+            changed.extend(self.set_verdict(now, &name, Verdict::Dead, out));
         }
-        if !news.is_empty() {
-            let gossip = self.gossip_of(news);
-            self.broadcast(rng, out, gossip);
+        if !changed.is_empty() {
+            let gossip = self.gossip_of(changed);
+            self.disseminate(rng, out, gossip);
         }
     }
 
-    /// A connection can go silent for good while new ones work, because something between the
-    /// ends lost track of it. The probe is repeated over a new connection, and by two others,
-    /// before its target is judged.
+    /// Repeats a probe over a new connection and through other routers.
+    ///
+    /// A device between two routers may drop the state of their connection, which then stays
+    /// silent while new connections work.
     fn retry_probe(&mut self, sequence: u64, rng: &mut SmallRng, out: &mut Vec<Action>) {
         let Some(probe) = self.probes.get_mut(&sequence) else {
             return;
@@ -89,13 +91,14 @@
         out.push(Action::Redial(address.clone()));
         let message = Message::Probe { sequence, anew: true, gossip };
         out.push(Action::Send { address: address.clone(), message });
-        let helpers: Vec<&Record> = self.live().filter(|r| r.name != name).collect();
-        for helper in helpers.choose_multiple(rng, HELPERS) {
+        let relays: Vec<&Record> = self.live().filter(|r| r.name != name).collect();
+        for relay in relays.choose_multiple(rng, RELAYS) {
             let message = Message::ProbeFor { sequence, address: address.clone() };
-            out.push(Action::Send { address: helper.peer_address.clone(), message });
+            out.push(Action::Send { address: relay.peer_address.clone(), message });
         }
     }
 
+    /// Sets the verdict on another router; returns its record if that changes it.
     fn set_verdict(
         &mut self,
         now: Time,
--- a/core/src/member/record.rs
+++ b/core/src/member/record.rs
@@ -1,82 +1,83 @@
-//! What routers say of themselves and of one another.
+//! Records of the member table: a router's own state and the verdict of other routers.
 
 use derive_more::Display;
 use serde::Deserialize;
 use serde::Serialize;
 
-/// What a router says of itself.
+/// State of a router by its own report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize, Display)]
 #[display(rename_all = "lowercase")]
 pub enum State {
-    /// Not ready for callers.
+    /// Starting, not ready for callers.
     Joining,
-    /// Takes callers.
+    /// Accepts callers.
     Serving,
-    /// Serves on, but callers are no longer sent to it.
+    /// Still serves requests, but callers are no longer sent to it.
     Leaving,
-    /// Has exited by plan.
+    /// Stopped as planned.
     Left,
 }
 
-/// What other routers say of a router, by rising weight.
+/// Verdict of other routers, in ascending order of precedence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize, Display)]
 #[display(rename_all = "lowercase")]
 pub enum Verdict {
-    /// It answers.
+    /// The router answers probes.
     Alive,
-    /// It does not answer some router.
+    /// The router did not answer a probe.
     Suspect,
-    /// It has not answered or objected.
+    /// The router neither answered nor refuted the suspicion in time.
     Dead,
 }
 
-/// A router's record, written by itself, with the verdict of others.
+/// Record of a router, written by itself, with the verdict of other routers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
     /// Name, unique among the routers.
     pub name: String,
-    /// Number of this run of the process; a later run has a higher one.
+    /// Incarnation of the process; higher after each restart.
     pub incarnation: u64,
     /// Version of this record within the incarnation.
     pub version: u64,
-    /// State by its own word.
+    /// State by the router's own report.
     pub state: State,
-    /// Verdict of others on this version.
+    /// Verdict of other routers on this version.
     pub verdict: Verdict,
-    /// Failure domain it runs in.
+    /// Failure domain of the router.
     pub failure_domain: String,
-    /// Address for callers.
+    /// Address that callers connect to.
     pub caller_address: String,
-    /// Address for peers.
+    /// Address for messages of other routers.
     pub peer_address: String,
-    /// Epoch of its idempotency keys.
+    /// Current epoch of its idempotency keys.
     pub epoch: u32,
-    /// Homes of other incarnations whose keys it has taken over.
+    /// Homes of other incarnations whose idempotency keys it has taken over.
     pub adopted: Vec<String>,
 }
 
 impl Record {
+    /// Of two records of a router, the one with the higher precedence replaces the other.
     pub(super) fn precedence(&self) -> (u64, u64, Verdict) {
         (self.incarnation, self.version, self.verdict)
     }
 
-    /// Base of the idempotency keys whose home is this incarnation.
+    /// Home of the idempotency keys that this incarnation issues.
     pub fn home(&self) -> String {
         home(&self.name, self.incarnation)
     }
 
-    /// Whether callers may be sent to it.
+    /// Whether callers may be sent to the router.
     pub fn accepts_callers(&self) -> bool {
         self.state == State::Serving && self.verdict == Verdict::Alive
     }
 
-    /// Whether it takes part at all.
+    /// Whether the router has neither stopped nor been declared dead.
     pub fn is_live(&self) -> bool {
         self.verdict != Verdict::Dead && self.state != State::Left
     }
 }
 
-/// Base of the idempotency keys whose home is this incarnation of a router.
+/// Home of the idempotency keys that an incarnation of a router issues.
 pub fn home(name: &str, incarnation: u64) -> String {
     format!("{name}.{incarnation:x}")
 }
