--- a/core/src/order.rs
+++ b/core/src/order.rs
@@ -1,14 +1,14 @@
-//! Who may give orders to a group of upstreams: a lease, and the times round it.
+//! Leases that allow one router at a time to send orders to a group of upstreams.
 //!
-//! The lease is a value in the key-value service; who writes it last holds it. Each write has a
-//! higher revision than all before, which is the fencing number of the orders given under it. Its
-//! lapse needs no common clock: another router takes the lease over after it has seen the same
-//! revision for [`LEASE_EXPIRY`] of its own time, and the holder stops [`LEASE_VALIDITY`] after it
-//! sent its last renewal, which is earlier.
+//! A lease is a value in the key-value service; the router that wrote it last holds it. The
+//! revision of the write is the fencing token of the orders sent under the lease, and is higher
+//! than that of any earlier write. Expiry needs no common clock: the holder stops
+//! [`LEASE_VALIDITY`] after it sent its last renewal, and another router takes the lease over when
+//! it has seen the same revision for [`LEASE_EXPIRY`], which is longer.
 //!
-//! A holder that was paused and still believes in its lease may send an order late. Upstreams that
-//! check fencing numbers refuse it. For those that ignore them, a new holder waits
-//! [`MAX_ORDER_DELAY`] more, the longest that an order may be on its way.
+//! A holder that was paused may still send an order after its lease has expired. Upstreams that
+//! check fencing tokens refuse that order. For those that do not, a new holder waits another
+//! [`MAX_ORDER_DELAY`] before it takes the lease over.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -16,64 +16,68 @@
 use crate::time::Span;
 use crate::time::Time;
 
-/// A holder renews after this long.
+/// Time after which a holder renews its lease.
 pub const RENEWAL_INTERVAL: Span = Span::secs(3);
-/// A holder gives no order this long after it sent its last renewal.
+/// Time after the holder sent its last renewal from which it sends no more orders.
 pub const LEASE_VALIDITY: Span = Span::secs(8);
-/// A lease whose revision has not changed for this long has lapsed.
+/// Time without a new revision after which a lease has expired for other routers. Must be longer
+/// than [`LEASE_VALIDITY`], or two routers could send orders at the same time.
 pub const LEASE_EXPIRY: Span = Span::secs(15);
-/// Longest time that an order may be on its way; the sender gives it up after that.
+/// Longest time for which an order may be in transit; the sender cancels it after that.
 pub const MAX_ORDER_DELAY: Span = Span::secs(5);
 
 /// The stored value of a lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Value {
-    /// Holder: name and incarnation.
+    /// Name and incarnation of the holder.
     pub holder: String,
-    /// Number of the holder's write, to know it again after a lost reply.
+    /// Number of the holder's write, which identifies the write if its reply is lost.
     pub write: u64,
 }
 
+/// A lease that this router holds.
 #[derive(Clone, Copy, Debug)]
 struct Held {
     revision: i64,
-    /// When the write that gave it was sent.
+    /// Time when the write of that revision was sent.
     since: Time,
 }
 
+/// A write without a reply so far.
 #[derive(Clone, Copy, Debug)]
 struct Sent {
     write: u64,
     at: Time,
 }
 
-/// A router's view of one lease.
+/// Local state of one lease.
 #[derive(Debug, Default)]
 pub struct Lease {
-    seen: Option<(i64, Time)>,
+    /// Last revision that was read, and the time when it was first seen.
+    last_seen: Option<(i64, Time)>,
     held: Option<Held>,
     sent: Option<Sent>,
     writes: u64,
 }
 
-/// What to do next about a lease.
+/// Next step of a router that needs a lease.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Nothing now.
+    /// Do nothing for now.
     Wait,
-    /// Read it.
+    /// Read the lease.
     Read,
-    /// Write this value if the revision is still the one given.
+    /// Write this value if the stored revision is still the given one.
     Write(i64, Value),
 }
 
 impl Lease {
-    /// The fencing number under which orders may be given at `now`, if any may.
+    /// The fencing token of orders sent at `now`; `None` if this router may send none.
     pub fn fencing_token(&self, now: Time) -> Option<i64> {
         self.held.filter(|h| now.since(h.since) < LEASE_VALIDITY).map(|h| h.revision)
     }
 
-    /// What a router that wants to give orders does next.
+    /// The next step of a router that needs to send orders.
     pub fn next_step(&mut self, now: Time, holder: &str, checks_fencing: bool) -> Step {
         if self.sent.is_some_and(|s| now.since(s.at) < RENEWAL_INTERVAL) {
             return Step::Wait;
@@ -81,13 +85,14 @@
         if self.fencing_token(now).is_some()
             && let Some(held) = self.held
         {
-            let due = now.since(held.since) >= RENEWAL_INTERVAL;
-            return if due { self.write(now, holder, held.revision) } else { Step::Wait };
+            let is_due = now.since(held.since) >= RENEWAL_INTERVAL;
+            return if is_due { self.write(now, holder, held.revision) } else { Step::Wait };
         }
-        let patience = if checks_fencing { LEASE_EXPIRY } else { LEASE_EXPIRY + MAX_ORDER_DELAY };
-        match self.seen {
+        let takeover_delay =
+            if checks_fencing { LEASE_EXPIRY } else { LEASE_EXPIRY + MAX_ORDER_DELAY };
+        match self.last_seen {
             Some((0, _)) => self.write(now, holder, 0),
-            Some((revision, since)) if now.since(since) >= patience => {
+            Some((revision, since)) if now.since(since) >= takeover_delay => {
                 self.write(now, holder, revision)
             }
             _ => Step::Read,
@@ -100,12 +105,12 @@
         Step::Write(revision, Value { holder: holder.to_owned(), write: self.writes })
     }
 
-    /// Takes a read in. After a lost reply it shows whether this router's write took effect; the
-    /// lease then counts from when that write was sent, not from when it was found.
+    /// Records the result of a read. After a lost reply, the read shows whether this router's
+    /// write took effect; the lease is then valid from the time when that write was sent.
     pub fn on_read(&mut self, now: Time, holder: &str, found: Option<(Value, i64)>) {
         let revision = found.as_ref().map_or(0, |(_, r)| *r);
-        if self.seen.is_none_or(|(r, _)| r != revision) {
-            self.seen = Some((revision, now));
+        if self.last_seen.is_none_or(|(r, _)| r != revision) {
+            self.last_seen = Some((revision, now));
         }
         let sent = self.sent.filter(|s| {
             found.as_ref().is_some_and(|(v, _)| v.holder == holder && v.write == s.write)
@@ -116,12 +121,12 @@
         }
     }
 
-    /// Notes that a call was not answered: a write may have taken effect, which a read will show.
+    /// Records that a call had no reply. A write may have taken effect; the next read shows it.
     pub fn on_unavailable(&mut self) {
-        self.seen = None;
+        self.last_seen = None;
     }
 
-    /// Takes the reply to a write in.
+    /// Records the reply to a write: its revision, or `None` if the stored revision had changed.
     pub fn on_write_reply(&mut self, now: Time, revision: Option<i64>) {
         let Some(sent) = self.sent.take() else {
             return;
@@ -129,11 +134,11 @@
         match revision {
             Some(revision) => {
                 self.held = Some(Held { revision, since: sent.at });
-                self.seen = Some((revision, now));
+                self.last_seen = Some((revision, now));
             }
             None => {
                 self.held = None;
-                self.seen = None;
+                self.last_seen = None;
             }
         }
     }
--- a/core/src/sync.rs
+++ b/core/src/sync.rs
@@ -1,8 +1,8 @@
-//! The configuration version in force, and how a newer one arrives.
+//! Tracks the configuration version in force and the shards of a newer one.
 //!
-//! A root names shards by content hash. A newer root waits until all its shards are here, then
-//! takes force as a whole. An older root never does, whatever a stale read, a peer or a restart
-//! says, because versions are only compared upwards.
+//! A root names its shards by content hash. A newer root is pending until all of its shards have
+//! arrived and is then applied as a whole. A root that is not newer is ignored, so no stale read,
+//! peer or restarted router brings an older version back.
 
 use std::collections::BTreeMap;
 
@@ -18,7 +18,7 @@
 pub const ROOT_KEY: &str = "laburnumwheel/config/root";
 /// Prefix of the keys of shards in the key-value service.
 pub const SHARD_PREFIX: &str = "laburnumwheel/config/shard/";
-/// Key of the list of routers in the key-value service.
+/// Key of the list of the routers in the key-value service.
 pub const ROSTER_KEY: &str = "laburnumwheel/roster";
 /// Key of the platform's list of leaving hosts: a JSON array of upstream names.
 pub const LEAVING_HOSTS_KEY: &str = "platform/hosts/leaving";
@@ -32,29 +32,29 @@
     shards: BTreeMap<Hash, Bytes>,
 }
 
-/// A newer configuration has taken force, or could not be read.
+/// Result of an attempt to apply the pending configuration.
 #[derive(Debug)]
 pub enum Step {
-    /// Shards are missing, or nothing newer is known.
+    /// No configuration is pending, or shards of it are missing.
     Wait,
-    /// This one is in force now.
+    /// This configuration is now in force.
     Apply(Config),
-    /// The root's shards can't be read; the version in force stays.
+    /// The shards of this version can't be decoded; the version in force is unchanged.
     Reject(u64, shard::Error),
 }
 
 impl Sync {
-    /// The root in force; version 0 before the first.
+    /// The root in force; version 0 before the first one.
     pub fn root(&self) -> &Root {
         &self.root
     }
 
-    /// Newest version heard of.
+    /// The newest version received, whether pending or in force.
     pub fn newest_version(&self) -> u64 {
         self.pending.as_ref().map_or(self.root.version, |p| p.version)
     }
 
-    /// Takes a root in; `true` if it is newer than all before.
+    /// Makes `root` the pending one; `false` if it is not newer than all earlier ones.
     pub fn offer(&mut self, root: Root) -> bool {
         if root.version <= self.newest_version() {
             return false;
@@ -63,22 +63,23 @@
         true
     }
 
-    /// Shards of the waiting root that are not here.
+    /// Hashes of the shards that the pending root still lacks.
     pub fn missing_shards(&self) -> Vec<Hash> {
-        let wanted = self.pending.iter().flat_map(|p| p.shards.values());
-        wanted.filter(|h| !self.shards.contains_key(*h)).cloned().collect()
+        let required = self.pending.iter().flat_map(|p| p.shards.values());
+        required.filter(|h| !self.shards.contains_key(*h)).cloned().collect()
     }
 
-    /// Takes a shard in if the waiting root names it.
+    /// Stores a shard if the pending root names it.
     pub fn add_shard(&mut self, content: Bytes) {
         let hash = shard::hash(&content);
-        let wanted = self.pending.as_ref().is_some_and(|p| p.shards.values().any(|h| *h == hash));
-        if wanted {
+        let is_required =
+            self.pending.as_ref().is_some_and(|p| p.shards.values().any(|h| *h == hash));
+        if is_required {
             self.shards.insert(hash, content);
         }
     }
 
-    /// Puts the waiting root in force if it is complete.
+    /// Puts the pending root in force if all of its shards are stored.
     pub fn apply_pending(&mut self) -> Step {
         if self.pending.is_none() || !self.missing_shards().is_empty() {
             return Step::Wait;
@@ -89,27 +90,28 @@
         match shard::join(&root, &self.shards) {
             Ok(config) => {
                 self.previous = std::mem::replace(&mut self.root, root);
-                let named: std::collections::BTreeSet<&Hash> = self.root.shards.values().collect();
-                self.shards.retain(|h, _| named.contains(h));
+                let used: std::collections::BTreeSet<&Hash> = self.root.shards.values().collect();
+                self.shards.retain(|h, _| used.contains(h));
                 Step::Apply(config)
             }
             Err(e) => Step::Reject(root.version, e),
         }
     }
 
-    /// The way to the root in force for a router that has version `have`.
+    /// The change from version `have` to the root in force; the whole root if `have` is not the
+    /// previous version.
     pub fn change_since(&self, have: u64) -> Change {
-        let known = have != 0 && have == self.previous.version;
-        let old = if known { self.previous.clone() } else { Root::default() };
+        let is_previous = have != 0 && have == self.previous.version;
+        let old = if is_previous { self.previous.clone() } else { Root::default() };
         self.root.change_from(&old)
     }
 
-    /// The root that a peer's change leads to, if it leads from here.
+    /// The root that results from a peer's change, if the change applies to the root in force.
     pub fn root_after(&self, change: &Change) -> Option<Root> {
         self.root.apply(change)
     }
 
-    /// A shard of the version in force.
+    /// The content of a stored shard.
     pub fn find_shard(&self, hash: &str) -> Option<&Bytes> {
         self.shards.get(hash)
     }
