--- a/core/src/arena.rs
+++ b/core/src/arena.rs
@@ -5,7 +5,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Key of a value in an [`Arena`]; stale after the value is removed.
+/// Key of a value in an [`Arena`]; invalid after the value is removed.
 #[derive(Serialize, Deserialize)]
 pub struct Key<T> {
     index: u32,
@@ -15,7 +15,7 @@
 }
 
 impl<T> Default for Key<T> {
-    /// A key that finds nothing.
+    /// A key that is never valid.
     fn default() -> Self {
         Key { index: u32::MAX, generation: u32::MAX, kind: PhantomData }
     }
@@ -61,7 +61,7 @@
     value: Option<T>,
 }
 
-/// Values in slots that are reused; a key of a removed value finds nothing.
+/// Values in reusable slots. The key of a removed value stays invalid when its slot is reused.
 #[derive(Debug)]
 pub struct Arena<T> {
     slots: Vec<Slot<T>>,
@@ -98,7 +98,7 @@
         slot.value.as_ref()
     }
 
-    /// The value of `key` for change, if it is still stored.
+    /// The mutable value of `key`, if it is still stored.
     pub fn get_mut(&mut self, key: Key<T>) -> Option<&mut T> {
         let slot = self.slots.get_mut(key.index as usize)?;
         if slot.generation != key.generation {
@@ -107,7 +107,7 @@
         slot.value.as_mut()
     }
 
-    /// Takes the value of `key` out.
+    /// Removes and returns the value of `key`, if it is still stored.
     pub fn remove(&mut self, key: Key<T>) -> Option<T> {
         let slot = self.slots.get_mut(key.index as usize)?;
         if slot.generation != key.generation {
--- a/core/src/codec.rs
+++ b/core/src/codec.rs
@@ -1,8 +1,8 @@
-//! The encoded form of a node's interface, for an outside driver in any language.
+//! Encodes the interface of a node for external drivers in any language, and peer messages.
 //!
-//! Events and actions are JSON as serde writes the types of [`crate::event`] and
-//! [`crate::action`]; bytes are arrays of numbers. Malformed input is an error and leaves the
-//! node as it was.
+//! Events and actions are JSON, as serde writes the types of [`crate::event`] and
+//! [`crate::action`]; bytes are arrays of numbers. Malformed input is an error and does not change
+//! the node.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -14,7 +14,7 @@
 use crate::peer::Message;
 use crate::time::Time;
 
-/// One encoded input: an event and when it happens.
+/// One input of a node: an event and its time.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Input {
     /// Time of the event.
@@ -23,18 +23,18 @@
     pub event: Event,
 }
 
-/// Input that can't be decoded.
+/// Errors of encoding and decoding.
 #[derive(Debug, Error)]
 pub enum Error {
-    /// Not the JSON of an [`Input`].
+    /// The input is not the JSON of an [`Input`].
     #[error("not an encoded input: {0}")]
     Json(#[from] serde_json::Error),
-    /// Not an encoded peer message.
+    /// A peer message can't be encoded or decoded.
     #[error("not an encoded peer message: {0}")]
     Message(#[from] postcard::Error),
 }
 
-/// Gives an encoded input to `node` and encodes its actions, a JSON array.
+/// Passes an encoded input to `node` and returns its actions as a JSON array.
 ///
 /// # Errors
 ///
@@ -58,7 +58,7 @@
 ///
 /// # Errors
 ///
-/// [`Error::Message`] for anything that [`encode_message`] did not write.
+/// [`Error::Message`] if the payload is not the output of [`encode_message`].
 pub fn decode_message(payload: &[u8]) -> Result<Message, Error> {
     Ok(postcard::from_bytes(payload)?)
 }
--- a/core/src/lib.rs
+++ b/core/src/lib.rs
@@ -1,9 +1,9 @@
-//! The decisions of a laburnumwheel router, without input or output.
+//! The decision logic of a laburnumwheel router, without input or output.
 //!
 //! [`node::Node`] takes `(now, Event)` and returns `Vec<Action>`. Time, seed, caller requests,
-//! upstream frames, load reports, key-value replies and peer messages all enter as values; every
-//! effect leaves as a value. The same settings and events give the same actions, byte for byte.
-//! [`codec`] is the encoded form of that interface for an outside driver.
+//! upstream frames, load reports, key-value replies and peer messages are values in events; every
+//! effect is a value in an action. The same settings and events give the same actions, byte for
+//! byte. [`codec`] encodes this interface for external drivers.
 
 pub mod action;
 pub mod arena;
--- a/core/src/peer.rs
+++ b/core/src/peer.rs
@@ -17,10 +17,10 @@
 /// Version of the payload encoding in an envelope.
 pub const CODEC_VERSION: u32 = 1;
 
-/// What rides on every probe and its answer.
+/// Gossip that each probe and answer carries.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Gossip {
-    /// Member records that changed lately.
+    /// Recently changed member records.
     pub records: Vec<Record>,
     /// Configuration version in force at the sender.
     pub version: u64,
@@ -28,81 +28,83 @@
     pub digest: u64,
 }
 
-/// What a router asks of the groups it shares with others, and what it has seen of upstreams.
+/// Demand of a router for capacity and limits that it shares with others, and the upstreams that
+/// it knows to be leaving.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Demand {
-    /// Requests at upstreams and in the queue, by group and tier.
+    /// Requests at upstreams and in queues, by group and tier.
     pub wanted: BTreeMap<String, TierDemand>,
-    /// Requests and tokens a second, by organisation with a limit.
+    /// Requests and tokens a second, by organisation, for those with a limit.
     pub used: BTreeMap<String, (f32, f32)>,
-    /// Upstreams that told the sender they are leaving.
+    /// Upstreams that told the sender that they are leaving.
     pub leaving: Vec<String>,
 }
 
 /// A message from one router to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// Are you there?
+    /// Checks whether the receiver is alive.
     Probe {
-        /// Number to be repeated in the answer.
+        /// Sequence number to return in the answer.
         sequence: u64,
-        /// The sender has dialled anew to ask; the way back may be silent too.
+        /// Whether the sender opened a new connection for this probe. The answer then needs a new
+        /// connection too, because the opposite direction may also be broken.
         anew: bool,
-        /// What rides along.
+        /// Piggybacked gossip.
         gossip: Gossip,
     },
-    /// Answer to a probe.
+    /// Answers a probe.
     Answer {
-        /// Number of the probe.
+        /// Sequence number of the probe.
         sequence: u64,
-        /// What rides along.
+        /// Piggybacked gossip.
         gossip: Gossip,
     },
-    /// Probe this address for me; its answer comes back to me from you.
+    /// Asks the receiver to probe a third router and to relay its answer.
     ProbeFor {
-        /// Number of the asker's probe.
+        /// Sequence number of the sender's probe.
         sequence: u64,
         /// Peer address to probe.
         address: String,
     },
-    /// Changed member records, sent on at once.
+    /// Member records or a configuration version that changed, sent without a probe.
     News(Gossip),
-    /// Send me your member table.
+    /// Requests the receiver's member table.
     AskMembers {
-        /// The asker.
+        /// Record of the sender.
         record: Record,
     },
     /// The sender's whole member table.
     Members(Vec<Record>),
-    /// What the sender wants and uses.
+    /// The sender's demand.
     Demand(Demand),
-    /// Send me your configuration root.
+    /// Requests the receiver's configuration root.
     AskRoot {
-        /// Version that the asker has.
+        /// Version that the sender has.
         have: u64,
     },
-    /// The way to the sender's configuration root.
+    /// The change that leads to the sender's configuration root.
     Root(Change),
-    /// Send me these shards.
+    /// Requests the shards with these hashes.
     AskShards(Vec<String>),
-    /// A shard; its hash is computed by the receiver.
+    /// Content of a shard; the receiver computes the hash.
     Shard(Bytes),
-    /// A request whose key's home is the receiver.
+    /// Forwards a request to the home of its idempotency key.
     Forward {
         /// Number of the request at the sender.
         request: RequestId,
         /// The request.
         submission: Box<Submission>,
     },
-    /// The end of a forwarded request.
+    /// Outcome of a forwarded request.
     Forwarded {
         /// Number of the request at the receiver.
         request: RequestId,
-        /// Its end.
+        /// Outcome of the request.
         outcome: Outcome,
     },
-    /// Keys of a stopping router for its successor.
+    /// Hands over idempotency keys of a stopping router to its successor.
     Table(idempotency::Handover),
-    /// The successor holds the keys of this prefix.
+    /// Confirms that the sender owns the idempotency keys of this home.
     TableTaken(String),
 }
--- a/core/src/rendezvous.rs
+++ b/core/src/rendezvous.rs
@@ -1,11 +1,11 @@
-//! Weighted rendezvous hashing: which members serve a key.
+//! Weighted rendezvous hashing, which assigns keys to members.
 //!
-//! The score is the weighted distance of Schindelhauer and Schomaker's distributed heterogeneous
-//! hash tables, `-ln(1-u)/w`: the lowest wins, a member's chance is proportional to its weight,
-//! and a change of one member moves only that member's keys. docs/design/rendezvous.md has the
-//! comparison with plain hashing and modulo.
+//! The distance is that of Schindelhauer and Schomaker's distributed heterogeneous hash tables,
+//! `-ln(1-u)/w`. The member with the lowest distance wins, a member's probability to win is
+//! proportional to its weight, and a change of one member moves only keys of that member.
+//! docs/design/rendezvous.md compares it with plain hashing and modulo.
 
-/// A 64-bit hash of `parts`, equal in every process.
+/// A 64-bit hash of `parts`, the same in every process.
 pub fn hash(parts: &[&[u8]]) -> u64 {
     let mut hasher = blake3::Hasher::new();
     for part in parts {
@@ -20,14 +20,14 @@
 
 /// Weighted distance of `member` from `key`; lower is nearer.
 pub fn distance(key: &str, member: &str, weight: f64) -> f64 {
-    let unit = (hash(&[key.as_bytes(), member.as_bytes()]) >> 11) as f64 / (1u64 << 53) as f64;
-    -(1.0 - unit).ln() / weight.max(1e-9)
+    let uniform = (hash(&[key.as_bytes(), member.as_bytes()]) >> 11) as f64 / (1u64 << 53) as f64;
+    -(1.0 - uniform).ln() / weight.max(1e-9)
 }
 
-/// Score of `member` for `key`, both already hashed; the highest wins.
+/// Unweighted score of `member` for `key`, both already hashed; the highest wins.
 ///
-/// A finalizer of good avalanche over the xor: a few nanoseconds, where a digest of the names for
-/// each of a hundred members would cost a request tens of microseconds.
+/// Applies a finalizer with good avalanche to the xor of the hashes. This takes a few nanoseconds;
+/// a digest of the names for each of a hundred members would take tens of microseconds a request.
 pub fn score(key: u64, member: u64) -> u64 {
     let mut x = key ^ member.rotate_left(32);
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/core/src/time.rs
+++ b/core/src/time.rs
@@ -1,4 +1,5 @@
-//! Points and spans of time, in microseconds, always given by the driver.
+//! Points and spans of time, in microseconds. The driver supplies all points; nothing reads a
+//! clock.
 
 use std::ops::Add;
 use std::ops::Sub;
