--- a/ctl/src/cmd/replay.rs
+++ b/ctl/src/cmd/replay.rs
@@ -4,10 +4,10 @@
 use laburnumwheel_replay::error;
 use laburnumwheel_replay::report;
 use laburnumwheel_replay::scenario::Scenario;
+use laburnumwheel_replay::simulation;
+use laburnumwheel_replay::simulation::Policy;
 use laburnumwheel_replay::site::Site;
 use laburnumwheel_replay::trace;
-use laburnumwheel_replay::world;
-use laburnumwheel_replay::world::Policy;
 
 use crate::error::Error;
 use crate::util;
@@ -49,7 +49,7 @@
     for scenario in scenarios {
         for (name, policy) in &policies {
             let faults = scenario.faults(&site);
-            let found = world::run(&site, &records, *policy, &faults, seed)?;
+            let found = simulation::run(&site, &records, *policy, &faults, seed)?;
             println!("\n{}, {name}, fault {scenario}", site.name);
             util::table(&report::rows(&site, &found));
             println!("{}", report::summary(&found));
--- a/ctl/src/cmd/slopes.rs
+++ b/ctl/src/cmd/slopes.rs
@@ -26,9 +26,9 @@
 use laburnumwheel_core::sync::SHARD_PREFIX;
 use laburnumwheel_core::time::Span;
 use laburnumwheel_core::time::Time;
-use laburnumwheel_replay::net;
-use laburnumwheel_replay::net::Net;
-use laburnumwheel_replay::net::Router;
+use laburnumwheel_replay::network;
+use laburnumwheel_replay::network::Network;
+use laburnumwheel_replay::network::Router;
 
 use crate::error::Error;
 use crate::util;
@@ -172,7 +172,7 @@
         vec![row(&[&"groups", &"upstreams", &"organisations", &"queued", &"us/request"])];
     for (groups, upstreams, orgs, queued) in sizes {
         let now = Time(1_000_000);
-        let mut node = Node::new(net::settings(0, "domain-0", 1, 1), now);
+        let mut node = Node::new(network::settings(0, "domain-0", 1, 1), now);
         if apply(&mut node, now, 1, &config(groups, upstreams, orgs)).is_err() {
             continue;
         }
@@ -239,27 +239,28 @@
     ];
     let mut rows = vec![head.map(str::to_owned).to_vec()];
     for n in [5, 9, 18, 36, 72, 144, 220] {
-        let mut net: Net<()> = Net::new(Span::millis(1));
-        net.store.publish(1, &config(31, 620, 10));
+        let mut network: Network<()> = Network::new(Span::millis(1));
+        network.store.publish(1, &config(31, 620, 10));
         for i in 0..n {
-            let node = Node::new(net::settings(i, &format!("domain-{}", i % 12), 1, 1), net.now);
-            net.add(Router::Node(Box::new(node)), i % 12);
+            let node =
+                Node::new(network::settings(i, &format!("domain-{}", i % 12), 1, 1), network.now);
+            network.add(Router::Node(Box::new(node)), i % 12);
         }
-        let settle = net.now + Span::secs(30);
-        while net.next(settle).is_some() {}
-        let (bytes, messages) = net.traffic;
-        let (reads, writes) = (net.store.reads, net.store.writes);
+        let settle = network.now + Span::secs(30);
+        while network.next(settle).is_some() {}
+        let (bytes, messages) = network.traffic;
+        let (reads, writes) = (network.store.reads, network.store.writes);
         let began = Instant::now();
-        let until = net.now + IDLE;
-        while net.next(until).is_some() {}
+        let until = network.now + IDLE;
+        while network.next(until).is_some() {}
         let each = |total: u64| total as f64 / n as f64 / IDLE.as_secs_f64();
         let processor = began.elapsed().as_secs_f64() * 1e6 / n as f64 / IDLE.as_secs_f64();
         rows.push(row(&[
             &n,
-            &format!("{:.0}", each(net.traffic.0 - bytes)),
-            &format!("{:.1}", each(net.traffic.1 - messages)),
-            &format!("{:.2}", (net.store.reads - reads) as f64 / IDLE.as_secs_f64()),
-            &(net.store.writes - writes),
+            &format!("{:.0}", each(network.traffic.0 - bytes)),
+            &format!("{:.1}", each(network.traffic.1 - messages)),
+            &format!("{:.2}", (network.store.reads - reads) as f64 / IDLE.as_secs_f64()),
+            &(network.store.writes - writes),
             &format!("{processor:.0}"),
         ]));
     }
@@ -288,7 +289,7 @@
     let mut rows = vec![row(&[&"routers", &"us/answer", &"bytes of a member table message"])];
     for n in [9, 50, 100, 200, 440] {
         let now = Time(1_000_000);
-        let mut node = Node::new(net::settings(0, "domain-0", 1, 1), now);
+        let mut node = Node::new(network::settings(0, "domain-0", 1, 1), now);
         let message = Message::Members((1..n).map(record).collect());
         let size = codec::encode_message(&message).map_or(0, |b| b.len());
         node.handle(now, Event::Peer { from: "x".to_owned(), incarnation: 1, message });
@@ -317,7 +318,7 @@
     for orgs in [1_000, 6_000, 18_000] {
         let now = Time(1_000_000);
         let before = resident();
-        let mut node = Node::new(net::settings(0, "domain-0", 1, 1), now);
+        let mut node = Node::new(network::settings(0, "domain-0", 1, 1), now);
         let mut config = config(31, 6_600, orgs);
         let old = split(&config)?;
         let began = Instant::now();
--- a/replay/src/net.rs
+++ b/replay/src/network.rs
@@ -1,7 +1,7 @@
 //! Routers, the messages between them and the key-value service, in virtual time.
 //!
 //! Messages can be delayed, cut and lost; routers killed and paused; the service can be out or
-//! lose replies. What routers do towards callers and upstreams goes to the owner of the net.
+//! lose replies. What routers do towards callers and upstreams goes to the owner of the network.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -153,7 +153,7 @@
     domain: usize,
 }
 
-/// What the owner of the net has to see to.
+/// What the owner of the network has to see to.
 #[derive(Debug)]
 pub enum Step<I> {
     /// An item of its own is due.
@@ -164,7 +164,7 @@
 
 /// Routers and what lies between them.
 #[derive(Debug)]
-pub struct Net<I> {
+pub struct Network<I> {
     /// Current time.
     pub now: Time,
     /// The key-value service.
@@ -205,10 +205,10 @@
     }
 }
 
-impl<I> Net<I> {
-    /// A net without routers.
-    pub fn new(between_domains: Span) -> Net<I> {
-        Net {
+impl<I> Network<I> {
+    /// A network without routers.
+    pub fn new(between_domains: Span) -> Network<I> {
+        Network {
             now: Time(1_000_000),
             store: Store::default(),
             cut: BTreeSet::new(),
--- a/replay/src/report.rs
+++ b/replay/src/report.rs
@@ -1,8 +1,8 @@
 //! Tables of what replays found, and the comparison with stated outcomes.
 
 use crate::caller::End;
+use crate::simulation::Found;
 use crate::site::Site;
-use crate::world::Found;
 
 /// Rows of a table by class.
 pub fn rows(site: &Site, found: &Found) -> Vec<Vec<String>> {
--- a/replay/src/scenario.rs
+++ b/replay/src/scenario.rs
@@ -3,8 +3,8 @@
 use derive_more::Display;
 use laburnumwheel_core::time::Span;
 
+use crate::simulation::Fault;
 use crate::site::Site;
-use crate::world::Fault;
 
 /// A set of faults in the burst.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display)]
--- a/replay/src/world.rs
+++ b/replay/src/simulation.rs
@@ -29,10 +29,10 @@
 use crate::fake::Engine;
 use crate::fake::Service;
 use crate::fake::TryId;
-use crate::net;
-use crate::net::Net;
-use crate::net::Router;
-use crate::net::Step;
+use crate::network;
+use crate::network::Network;
+use crate::network::Router;
+use crate::network::Step;
 use crate::site::Site;
 use crate::trace::Record;
 
@@ -174,11 +174,11 @@
 }
 
 /// A replay in progress.
-pub struct World<'a> {
+pub struct Simulation<'a> {
     site: &'a Site,
     trace: &'a [Record],
     policy: Policy,
-    net: Net<Item>,
+    network: Network<Item>,
     began: Time,
     upstreams: Vec<Upstream>,
     domains: Vec<usize>,
@@ -211,36 +211,36 @@
     seed: u64,
 ) -> Result<Found, Error> {
     let config = site.config()?;
-    let mut world = World::new(site, trace, policy, &config, seed);
-    world.schedule(faults);
+    let mut simulation = Simulation::new(site, trace, policy, &config, seed);
+    simulation.schedule(faults);
     let length = trace.last().map_or(0, |r| r.at_ms);
-    let end = world.began + Span::millis(length) + COOL_DOWN;
-    while let Some(step) = world.net.next(end) {
+    let end = simulation.began + Span::millis(length) + COOL_DOWN;
+    while let Some(step) = simulation.network.next(end) {
         match step {
-            Step::Own(item) => world.item(item),
-            Step::Actions(router, actions) => world.perform(router, actions),
+            Step::Own(item) => simulation.item(item),
+            Step::Actions(router, actions) => simulation.perform(router, actions),
         }
     }
-    Ok(world.found(length))
+    Ok(simulation.found(length))
 }
 
-impl<'a> World<'a> {
+impl<'a> Simulation<'a> {
     fn new(
         site: &'a Site,
         trace: &'a [Record],
         policy: Policy,
         config: &Config,
         seed: u64,
-    ) -> World<'a> {
-        let mut net = Net::new(Span(site.between_domains_us));
-        net.store.publish(1, config);
+    ) -> Simulation<'a> {
+        let mut network = Network::new(Span(site.between_domains_us));
+        network.store.publish(1, config);
         for i in 0..site.routers {
-            let settings = net::settings(i, site.domain(i), 1, seed);
+            let settings = network::settings(i, site.domain(i), 1, seed);
             let router = match policy {
-                Policy::Core => Router::Node(Box::new(Node::new(settings, net.now))),
+                Policy::Core => Router::Node(Box::new(Node::new(settings, network.now))),
                 Policy::Baseline(kind) => Router::Baseline(Baseline::new(kind, config, i)),
             };
-            net.add(router, i % site.domains.len());
+            network.add(router, i % site.domains.len());
         }
         let mut upstreams = Vec::new();
         let mut domains = Vec::new();
@@ -259,12 +259,12 @@
         let by_address = config.upstreams.iter();
         let by_address = by_address.filter_map(|u| Some((u.address.clone(), by_name(&u.name)?)));
         let by_address = by_address.collect();
-        let began = net.now + WARM_UP;
-        World {
+        let began = network.now + WARM_UP;
+        Simulation {
             site,
             trace,
             policy,
-            net,
+            network,
             began,
             cache_sequence: vec![0; upstreams.len()],
             upstreams,
@@ -287,14 +287,14 @@
 
     fn schedule(&mut self, faults: &[(u64, Fault)]) {
         for (i, record) in self.trace.iter().enumerate() {
-            self.net.schedule(WARM_UP + Span::millis(record.at_ms), Item::Send(i));
+            self.network.schedule(WARM_UP + Span::millis(record.at_ms), Item::Send(i));
         }
         for (at_ms, fault) in faults {
             let number = self.faults.len();
             self.faults.push(*fault);
-            self.net.schedule(WARM_UP + Span::millis(*at_ms), Item::Fault(number));
+            self.network.schedule(WARM_UP + Span::millis(*at_ms), Item::Fault(number));
         }
-        self.net.schedule(REPORT_EVERY, Item::Report);
+        self.network.schedule(REPORT_EVERY, Item::Report);
     }
 
     fn item(&mut self, item: Item) {
@@ -311,14 +311,14 @@
             Item::Fault(number) => self.fault(self.faults[number]),
             Item::Listed(upstream) => {
                 let list = serde_json::to_vec(&[&self.names[upstream]]).unwrap_or_default();
-                self.net.store.put(LEAVING_HOSTS_KEY, Bytes::from(list));
+                self.network.store.put(LEAVING_HOSTS_KEY, Bytes::from(list));
             }
-            Item::Restored => self.net.store.mode = net::Mode::Up,
+            Item::Restored => self.network.store.mode = network::Mode::Up,
         }
     }
 
     fn give(&mut self, router: usize, event: Event) {
-        let actions = self.net.give(router, event);
+        let actions = self.network.give(router, event);
         self.perform(router, actions);
     }
 
@@ -332,7 +332,7 @@
                     let id = (router, dispatch.attempt);
                     self.open.insert(id, upstream);
                     let delay = self.delay(router, upstream);
-                    self.net.schedule(delay, Item::Arrive(router, upstream, dispatch));
+                    self.network.schedule(delay, Item::Arrive(router, upstream, dispatch));
                 }
                 Action::Cancel(attempt) => {
                     let id = (router, attempt);
@@ -340,16 +340,16 @@
                         && !self.silent.contains(&id)
                     {
                         let delay = self.delay(router, upstream);
-                        self.net.schedule(delay, Item::Stop(upstream, id));
+                        self.network.schedule(delay, Item::Stop(upstream, id));
                     }
                 }
                 Action::Deliver { request, text, .. } => {
                     let delay = Span(self.site.to_callers_us);
-                    self.net.schedule(delay, Item::Part(router, request, text));
+                    self.network.schedule(delay, Item::Part(router, request, text));
                 }
                 Action::Finish(request, outcome) => {
                     let delay = Span(self.site.to_callers_us);
-                    self.net.schedule(delay, Item::End(router, request, outcome));
+                    self.network.schedule(delay, Item::End(router, request, outcome));
                 }
                 Action::Exit => self.break_callers(router),
                 _ => {}
@@ -370,7 +370,7 @@
             Upstream::Engine(e) => e.generated,
             Upstream::Service(_) => 0,
         });
-        let nodes = (0..self.net.len()).filter_map(|i| self.net.node(i));
+        let nodes = (0..self.network.len()).filter_map(|i| self.network.node(i));
         let seconds = (Span::millis(length_ms) + COOL_DOWN + WARM_UP).as_secs_f64();
         Found {
             goodput: tallies.iter().map(|t| t.tokens).sum(),
@@ -379,8 +379,8 @@
             generated: generated.sum(),
             best: bound::best(self.site, self.trace),
             stats: nodes.map(|n| n.stats().clone()).collect(),
-            kv_calls: (self.net.store.reads, self.net.store.writes),
-            peer_bytes: self.net.traffic.0 as f64 / seconds / self.net.len().max(1) as f64,
+            kv_calls: (self.network.store.reads, self.network.store.writes),
+            peer_bytes: self.network.traffic.0 as f64 / seconds / self.network.len().max(1) as f64,
         }
     }
 }
--- a/replay/src/world/callers.rs
+++ b/replay/src/simulation/callers.rs
@@ -11,29 +11,30 @@
 
 use super::Item;
 use super::Kept;
-use super::World;
+use super::Simulation;
 use crate::caller::Call;
 use crate::caller::End;
 
 /// A caller leaves when its class's patience is over; an answer under way then still counts.
 const CALLER_EXTRA: Span = Span::millis(500);
 
-impl World<'_> {
+impl Simulation<'_> {
     /// The routers a caller may use, by an entry answer that it keeps for its time to live.
     pub(super) fn entry(&mut self, record: usize) -> Option<(usize, String)> {
         let org = self.trace[record].org;
         let caller = record % self.site.callers[org];
         let kept = self.kept.get(&(org, caller));
-        let kept = kept.filter(|k| k.until > self.net.now);
-        let kept = kept.and_then(|k| k.addresses.iter().find(|(r, _)| self.net.is_up(*r)).cloned());
+        let kept = kept.filter(|k| k.until > self.network.now);
+        let kept =
+            kept.and_then(|k| k.addresses.iter().find(|(r, _)| self.network.is_up(*r)).cloned());
         if kept.is_some() {
             return kept;
         }
-        let up: Vec<usize> = (0..self.net.len()).filter(|r| self.net.is_up(*r)).collect();
+        let up: Vec<usize> = (0..self.network.len()).filter(|r| self.network.is_up(*r)).collect();
         let any = *up.get(self.rng.random_range(0..up.len().max(1)))?;
         let domain = self.site.domain(caller).to_owned();
-        let now = self.net.now;
-        let Some(node) = self.net.node_mut(any) else {
+        let now = self.network.now;
+        let Some(node) = self.network.node_mut(any) else {
             return Some((any, String::new()));
         };
         let answer = node.entry(now, Some(&domain), None)?;
@@ -42,14 +43,14 @@
         let addresses = addresses.filter_map(|a| Some((number(&a.address)?, a.key_prefix.clone())));
         let addresses: Vec<_> = addresses.collect();
         let until = now + Span::millis(answer.ttl_ms);
-        let first = addresses.iter().find(|(r, _)| self.net.is_up(*r)).cloned();
+        let first = addresses.iter().find(|(r, _)| self.network.is_up(*r)).cloned();
         self.kept.insert((org, caller), Kept { addresses, until });
         first
     }
 
     pub(super) fn send(&mut self, record: usize) {
         let Some((router, prefix)) = self.entry(record) else {
-            self.net.schedule(Span::millis(100), Item::Send(record));
+            self.network.schedule(Span::millis(100), Item::Send(record));
             return;
         };
         let r = self.trace[record];
@@ -59,7 +60,7 @@
         let key = old.as_ref().and_then(|c| c.key.clone()).or(first_key);
         let request = RequestId(self.next_request);
         self.next_request += 1;
-        let sent = old.as_ref().map_or(self.net.now, |c| c.sent);
+        let sent = old.as_ref().map_or(self.network.now, |c| c.sent);
         let sends = old.map_or(1, |c| c.sends + 1);
         let call = Call {
             router,
@@ -96,10 +97,10 @@
         };
         let event = Event::Request(request, Box::new(submission));
         let delay = Span(self.site.to_callers_us);
-        self.net.event_after(delay, router, event);
+        self.network.event_after(delay, router, event);
         if sends == 1 {
             let patience = Span::millis(class.patience_ms) + CALLER_EXTRA;
-            self.net.schedule(patience, Item::Impatient(record));
+            self.network.schedule(patience, Item::Impatient(record));
         }
     }
 
@@ -115,7 +116,7 @@
     }
 
     pub(super) fn part(&mut self, router: usize, request: RequestId, text: &Bytes) {
-        let now = self.net.now;
+        let now = self.network.now;
         let Some((record, call)) = self.call_of(router, request) else {
             return;
         };
@@ -134,7 +135,7 @@
     }
 
     pub(super) fn end(&mut self, router: usize, request: RequestId, outcome: &Outcome) {
-        let now = self.net.now;
+        let now = self.network.now;
         let Some((record, call)) = self.call_of(router, request) else {
             return;
         };
@@ -155,7 +156,7 @@
     }
 
     pub(super) fn impatient(&mut self, record: usize) {
-        let now = self.net.now;
+        let now = self.network.now;
         let Some(call) = self.calls[record].as_mut() else {
             return;
         };
@@ -164,13 +165,13 @@
         }
         call.end = Some((End::GaveUp, now));
         let (router, request) = (call.router, call.request);
-        self.net.event_after(Span(self.site.to_callers_us), router, Event::CallerGone(request));
+        self.network.event_after(Span(self.site.to_callers_us), router, Event::CallerGone(request));
     }
 
     /// Callers of a router that is gone see their connections break. They try another address
     /// once if no part of an answer came: a repeated request is safe under its key, or idempotent.
     pub(super) fn break_callers(&mut self, router: usize) {
-        let now = self.net.now;
+        let now = self.network.now;
         for record in 0..self.calls.len() {
             let Some(call) = self.calls[record].as_mut() else {
                 continue;
@@ -179,7 +180,7 @@
                 continue;
             }
             if call.first.is_none() && call.sends == 1 {
-                self.net.schedule(Span(self.site.to_callers_us), Item::Send(record));
+                self.network.schedule(Span(self.site.to_callers_us), Item::Send(record));
             } else {
                 call.end = Some((End::Broken, now));
             }
--- a/replay/src/world/faults.rs
+++ b/replay/src/simulation/faults.rs
@@ -6,15 +6,15 @@
 
 use super::Fault;
 use super::Item;
+use super::Simulation;
 use super::Upstream;
-use super::World;
 use crate::fake::TryId;
-use crate::net;
+use crate::network;
 
 /// The platform's host list lags by this much.
 const HOST_LIST_LAG: Span = Span::secs(2);
 
-impl World<'_> {
+impl Simulation<'_> {
     pub(super) fn fault(&mut self, fault: Fault) {
         match fault {
             Fault::Straggler { upstream, factor } => {
@@ -28,17 +28,17 @@
                     Upstream::Engine(e) => e.leaving = true,
                     Upstream::Service(s) => s.leaving = true,
                 }
-                self.net.schedule(HOST_LIST_LAG, Item::Listed(upstream));
+                self.network.schedule(HOST_LIST_LAG, Item::Listed(upstream));
             }
             Fault::FreezeReports(length) => {
-                self.frozen = Some((self.net.now + length, self.loads()));
+                self.frozen = Some((self.network.now + length, self.loads()));
             }
             Fault::Silence { upstream } => {
                 let there = self.open.iter().filter(|(_, u)| **u == upstream);
                 self.silent.extend(there.map(|(id, _)| *id).collect::<Vec<_>>());
             }
             Fault::LoseRouter { router } => {
-                self.net.kill(router);
+                self.network.kill(router);
                 let there: Vec<(TryId, usize)> = self
                     .open
                     .iter()
@@ -53,8 +53,8 @@
             }
             Fault::StopRouter { router } => self.give(router, Event::Stop),
             Fault::Outage(length) => {
-                self.net.store.mode = net::Mode::Down;
-                self.net.schedule(length, Item::Restored);
+                self.network.store.mode = network::Mode::Down;
+                self.network.schedule(length, Item::Restored);
             }
         }
     }
--- a/replay/src/world/upstreams.rs
+++ b/replay/src/simulation/upstreams.rs
@@ -11,8 +11,8 @@
 use super::Item;
 use super::Policy;
 use super::REPORT_EVERY;
+use super::Simulation;
 use super::Upstream;
-use super::World;
 use crate::fake::Job;
 use crate::fake::Output;
 use crate::fake::TryId;
@@ -22,11 +22,11 @@
 /// A refused connection comes back after this long.
 const CONNECT_ERROR: Span = Span::millis(1);
 
-impl World<'_> {
+impl Simulation<'_> {
     pub(super) fn fail(&mut self, upstream: usize, id: TryId, failure: Failure) {
         self.open.remove(&id);
         let delay = self.delay(id.0, upstream);
-        self.net.event_after(delay, id.0, Event::Failed(id.1, failure));
+        self.network.event_after(delay, id.0, Event::Failed(id.1, failure));
     }
 
     pub(super) fn arrive(&mut self, router: usize, upstream: usize, dispatch: Dispatch) {
@@ -37,13 +37,13 @@
         let word = dispatch.body.get(..8).and_then(|b| b.try_into().ok()).map(u64::from_le_bytes);
         let record = word.unwrap_or(0) as usize;
         let r = self.trace[record];
-        let now = self.net.now;
+        let now = self.network.now;
         let (crashed, leaving) = match &self.upstreams[upstream] {
             Upstream::Engine(e) => (e.crashed, e.leaving),
             Upstream::Service(s) => (s.crashed, s.leaving),
         };
         if crashed {
-            self.net.event_after(CONNECT_ERROR, router, Event::Failed(id.1, Failure::Connect));
+            self.network.event_after(CONNECT_ERROR, router, Event::Failed(id.1, Failure::Connect));
             return;
         }
         if leaving {
@@ -66,14 +66,14 @@
                 // A stopped try can leave an engine empty with its next step still to come; a
                 // second chain of steps would make it twice as fast.
                 if !std::mem::replace(&mut engine.stepping, true) {
-                    self.net.schedule(step, Item::Step(upstream));
+                    self.network.schedule(step, Item::Step(upstream));
                 }
             }
             Upstream::Service(service) => {
                 let ends = service.run(now);
                 let once = self.site.class[r.class].once;
                 self.broken.doubled += u64::from(once && self.ran[&record] > 1);
-                self.net.schedule(ends.since(now), Item::Served(upstream, id, record));
+                self.network.schedule(ends.since(now), Item::Served(upstream, id, record));
             }
         }
     }
@@ -95,7 +95,7 @@
         let (busy, leaving, step) = (engine.busy(), engine.leaving, engine.step);
         engine.stepping = busy;
         if busy {
-            self.net.schedule(step, Item::Step(upstream));
+            self.network.schedule(step, Item::Step(upstream));
         } else if leaving && let Upstream::Engine(engine) = &mut self.upstreams[upstream] {
             engine.crashed = true;
         }
@@ -123,7 +123,7 @@
                 Event::Ended { attempt, echo: attempt, status: 200 }
             }
         };
-        self.net.event_after(delay, router, event);
+        self.network.event_after(delay, router, event);
     }
 
     pub(super) fn served(&mut self, upstream: usize, id: TryId, _record: usize) {
@@ -138,7 +138,7 @@
             let delay = self.delay(id.0, upstream);
             let (router, attempt) = id;
             let event = Event::Ended { attempt, echo: attempt, status: 200 };
-            self.net.event_after(delay, router, event);
+            self.network.event_after(delay, router, event);
         }
     }
 
@@ -151,12 +151,12 @@
     }
 
     pub(super) fn report(&mut self) {
-        self.net.schedule(REPORT_EVERY, Item::Report);
+        self.network.schedule(REPORT_EVERY, Item::Report);
         if self.policy != Policy::Core {
             return;
         }
         let lag = Span(self.site.report_lag_us);
-        let frozen = self.frozen.as_ref().filter(|(until, _)| self.net.now < *until);
+        let frozen = self.frozen.as_ref().filter(|(until, _)| self.network.now < *until);
         let loads = frozen.map_or_else(|| self.loads(), |(_, loads)| loads.clone());
         for (i, load) in loads.into_iter().enumerate() {
             let (gone, added) = match &mut self.upstreams[i] {
@@ -168,9 +168,9 @@
             }
             self.cache_sequence[i] += 1;
             let lost = self.rng.random_range(0..CACHE_LOSS) == 0;
-            for router in 0..self.net.len() {
+            for router in 0..self.network.len() {
                 let load = Load { age: lag.0, ..load };
-                self.net.event_after(lag, router, Event::Load(self.names[i].clone(), load));
+                self.network.event_after(lag, router, Event::Load(self.names[i].clone(), load));
                 if lost {
                     continue;
                 }
@@ -180,7 +180,7 @@
                     added: added.clone(),
                     evicted: Vec::new(),
                 };
-                self.net.event_after(lag, router, cache);
+                self.network.event_after(lag, router, cache);
             }
         }
     }
--- a/replay/tests/keys.rs
+++ b/replay/tests/keys.rs
@@ -6,7 +6,7 @@
 use laburnumwheel_core::event::Event;
 use laburnumwheel_core::idempotency;
 use laburnumwheel_core::time::Span;
-use laburnumwheel_replay::net::Mode;
+use laburnumwheel_replay::network::Mode;
 use proptest::prelude::*;
 
 use support::Cluster;
@@ -83,7 +83,7 @@
     // Act
     cluster.submit(0, &key, "bid 1");
     cluster.run(Span::millis(5));
-    cluster.net.kill(0);
+    cluster.network.kill(0);
     cluster.run(Span::secs(6));
     let other = cluster.submit(1, &key, "bid 1");
     cluster.restart(0);
@@ -106,11 +106,11 @@
     let key = format!("{}bid-1", cluster.prefix(0));
 
     // Act
-    cluster.net.pause(0);
+    cluster.network.pause(0);
     let early = cluster.submit(1, &key, "bid 1");
     cluster.run(Span::secs(8));
     let late = cluster.submit(2, &key, "bid 1");
-    cluster.net.resume(0);
+    cluster.network.resume(0);
     cluster.run(Span::secs(60));
     let after = cluster.submit(1, &key, "bid 1");
     cluster.run(Span::secs(2));
@@ -128,8 +128,8 @@
 fn a_planned_stop_hands_the_keys_over() {
     // Arrange
     let mut cluster = Cluster::start(9, 6);
-    cluster.net.store.mode = Mode::Down;
-    cluster.net.lose_one_in = 7;
+    cluster.network.store.mode = Mode::Down;
+    cluster.network.lose_one_in = 7;
     let key = format!("{}bid-1", cluster.prefix(0));
     cluster.submit(0, &key, "bid 1");
     cluster.run(Span::secs(1));
@@ -247,7 +247,7 @@
         seed in 0..1_000u64,
     ) {
         let mut cluster = Cluster::start(4, seed);
-        cluster.net.lose_one_in = lose;
+        cluster.network.lose_one_in = lose;
         cluster.break_one_in = break_one_in;
         let prefixes: Vec<String> = (0..4).map(|i| cluster.prefix(i)).collect();
         let mut sent = Vec::new();
@@ -259,19 +259,19 @@
                     let id = cluster.submit(router, &key, &body);
                     sent.push((router, id, body));
                 }
-                Move::Kill(router) => cluster.net.kill(router),
-                Move::Restart(router) if !cluster.net.is_up(router) => cluster.restart(router),
+                Move::Kill(router) => cluster.network.kill(router),
+                Move::Restart(router) if !cluster.network.is_up(router) => cluster.restart(router),
                 Move::Restart(_) => {}
-                Move::Pause(router) => cluster.net.pause(router),
-                Move::Resume(router) => cluster.net.resume(router),
+                Move::Pause(router) => cluster.network.pause(router),
+                Move::Resume(router) => cluster.network.resume(router),
                 Move::Stop(router) => cluster.give(router, Event::Stop),
-                Move::Cut(router) => cluster.net.partition(&[router]),
-                Move::Heal => cluster.net.cut.clear(),
+                Move::Cut(router) => cluster.network.partition(&[router]),
+                Move::Heal => cluster.network.cut.clear(),
                 Move::Wait(ms) => cluster.run(Span::millis(ms)),
             }
         }
-        (0..4).for_each(|router| cluster.net.resume(router));
-        cluster.net.cut.clear();
+        (0..4).for_each(|router| cluster.network.resume(router));
+        cluster.network.cut.clear();
         cluster.run(Span::secs(120));
 
         for (body, runs) in &cluster.runs {
--- a/replay/tests/leaving.rs
+++ b/replay/tests/leaving.rs
@@ -6,7 +6,7 @@
 use laburnumwheel_core::event::Event;
 use laburnumwheel_core::sync::LEAVING_HOSTS_KEY;
 use laburnumwheel_core::time::Span;
-use laburnumwheel_replay::net::Mode;
+use laburnumwheel_replay::network::Mode;
 
 use support::Cluster;
 
@@ -14,7 +14,7 @@
 
 /// Whether any router would still send work to the upstream.
 fn open_anywhere(cluster: &Cluster, name: &str) -> bool {
-    let nodes = (0..cluster.net.len()).filter_map(|i| cluster.net.node(i));
+    let nodes = (0..cluster.network.len()).filter_map(|i| cluster.network.node(i));
     nodes.flat_map(|n| n.upstreams()).any(|u| u.name == name && !u.leaving)
 }
 
@@ -27,7 +27,7 @@
         let mut cluster = Cluster::start(9, seed);
 
         // Act
-        cluster.net.store.put(LEAVING_HOSTS_KEY, Bytes::from_static(b"[\"s1\"]"));
+        cluster.network.store.put(LEAVING_HOSTS_KEY, Bytes::from_static(b"[\"s1\"]"));
         let took = cluster.run_until(WITHIN, |c| !open_anywhere(c, "s1"));
 
         // Assert
@@ -41,7 +41,7 @@
 fn a_refusal_met_by_one_router_reaches_every_other() {
     // Arrange
     let mut cluster = Cluster::start(9, 1);
-    cluster.net.store.mode = Mode::Down;
+    cluster.network.store.mode = Mode::Down;
     let id = cluster.submit(4, "", "call");
     let attempt = laburnumwheel_core::event::AttemptId(1);
 
--- a/replay/tests/limits.rs
+++ b/replay/tests/limits.rs
@@ -4,7 +4,7 @@
 
 use laburnumwheel_core::action::Outcome;
 use laburnumwheel_core::time::Span;
-use laburnumwheel_replay::net::Mode;
+use laburnumwheel_replay::network::Mode;
 
 use support::Cluster;
 
@@ -15,7 +15,7 @@
     let mut cluster = Cluster::start(9, seed);
     let mut limited = support::config(1);
     limited.organisations[0].requests_per_second = LIMIT as u32;
-    cluster.net.store.publish(2, &limited);
+    cluster.network.store.publish(2, &limited);
     cluster.run(Span::secs(8));
     assert_eq!(cluster.version(8), 2);
     cluster
@@ -87,8 +87,8 @@
     // Arrange
     let mut cluster = limited(3);
     offer(&mut cluster, 360.0, 5, EVEN);
-    cluster.net.store.mode = Mode::Down;
-    cluster.net.kill(0);
+    cluster.network.store.mode = Mode::Down;
+    cluster.network.kill(0);
     let rest = [0, 1, 1, 1, 1, 1, 1, 1, 1];
     offer(&mut cluster, 360.0, 8, rest);
 
@@ -106,7 +106,7 @@
 fn a_partition_allows_one_limit_a_side() {
     // Arrange
     let mut cluster = limited(4);
-    cluster.net.partition(&[0, 1, 2, 3]);
+    cluster.network.partition(&[0, 1, 2, 3]);
     cluster.run(Span::secs(15));
     offer(&mut cluster, 720.0, 10, EVEN);
 
--- a/replay/tests/members.rs
+++ b/replay/tests/members.rs
@@ -4,7 +4,7 @@
 
 use laburnumwheel_core::event::Event;
 use laburnumwheel_core::time::Span;
-use laburnumwheel_replay::net::Mode;
+use laburnumwheel_replay::network::Mode;
 
 use support::Cluster;
 
@@ -17,7 +17,7 @@
         let mut cluster = Cluster::start(routers, 1);
 
         // Act
-        cluster.net.kill(1);
+        cluster.network.kill(1);
         let took = cluster
             .run_until(Span::secs(5), |c| (0..routers).filter(|i| *i != 1).all(|i| !c.names(i, 1)));
 
@@ -32,12 +32,12 @@
 fn an_outage_removes_nobody_and_hides_no_death() {
     // Arrange
     let mut cluster = Cluster::start(9, 2);
-    cluster.net.store.mode = Mode::Down;
+    cluster.network.store.mode = Mode::Down;
 
     // Act
     cluster.run(Span::secs(300));
     let during: Vec<usize> = (0..9).map(|i| cluster.serving_seen_by(i)).collect();
-    cluster.net.kill(4);
+    cluster.network.kill(4);
     cluster.run(Span::secs(5));
 
     // Assert
@@ -53,13 +53,13 @@
 fn a_new_router_starts_from_peers_alone() {
     // Arrange
     let mut cluster = Cluster::start(3, 3);
-    cluster.net.store.mode = Mode::Down;
-    let mut settings = laburnumwheel_replay::net::settings(3, "a", 1, 3);
-    settings.seeds = vec![laburnumwheel_replay::net::peer_address(0)];
-    let node = laburnumwheel_core::node::Node::new(settings, cluster.net.now);
+    cluster.network.store.mode = Mode::Down;
+    let mut settings = laburnumwheel_replay::network::settings(3, "a", 1, 3);
+    settings.seeds = vec![laburnumwheel_replay::network::peer_address(0)];
+    let node = laburnumwheel_core::node::Node::new(settings, cluster.network.now);
 
     // Act
-    cluster.net.add(laburnumwheel_replay::net::Router::Node(Box::new(node)), 0);
+    cluster.network.add(laburnumwheel_replay::network::Router::Node(Box::new(node)), 0);
     cluster.run(Span::secs(10));
 
     // Assert
@@ -77,10 +77,10 @@
     let mut cluster = Cluster::start(9, 4);
 
     // Act
-    cluster.net.pause(2);
+    cluster.network.pause(2);
     cluster.run(Span::secs(10));
     let gone = (0..9).filter(|i| *i != 2).all(|i| !cluster.names(i, 2));
-    cluster.net.resume(2);
+    cluster.network.resume(2);
     cluster.run(Span::secs(15));
 
     // Assert
@@ -96,12 +96,12 @@
 fn a_partition_heals() {
     // Arrange
     let mut cluster = Cluster::start(9, 5);
-    cluster.net.partition(&[0, 1, 2, 3]);
+    cluster.network.partition(&[0, 1, 2, 3]);
 
     // Act
     cluster.run(Span::secs(3_600));
     let apart = (cluster.serving_seen_by(0), cluster.serving_seen_by(8));
-    cluster.net.cut.clear();
+    cluster.network.cut.clear();
     cluster.run(Span::secs(30));
 
     // Assert
@@ -117,7 +117,7 @@
 fn lost_messages_condemn_nobody_for_long() {
     // Arrange
     let mut cluster = Cluster::start(9, 6);
-    cluster.net.lose_one_in = 5;
+    cluster.network.lose_one_in = 5;
 
     // Act
     let mut seen = Vec::new();
@@ -140,7 +140,7 @@
     // Arrange
     let mut cluster = Cluster::start(9, 9);
     let pairs = (0..9).flat_map(|a| (0..9).map(move |b| (a, b)));
-    cluster.net.silent = pairs.filter(|(a, b)| a != b).collect();
+    cluster.network.silent = pairs.filter(|(a, b)| a != b).collect();
 
     // Act
     let mut least = 9;
@@ -165,7 +165,7 @@
     let took = cluster.run_until(Span::secs(3), |c| (0..9).all(|i| !c.names(i, 3)));
     let up_after_ttl = {
         cluster.run(Span::secs(8));
-        cluster.net.is_up(3)
+        cluster.network.is_up(3)
     };
     cluster.run(Span::secs(15));
 
@@ -173,7 +173,7 @@
     assert!(took.is_some());
     assert!(up_after_ttl);
     assert_eq!(cluster.exited, vec![3]);
-    assert!(!cluster.net.is_up(3));
+    assert!(!cluster.network.is_up(3));
 }
 
 /// What nine idle routers cost: bytes between them and calls to the key-value service.
@@ -182,15 +182,15 @@
     // Arrange
     let mut cluster = Cluster::start(9, 8);
     let (bytes, reads, writes) =
-        (cluster.net.traffic.0, cluster.net.store.reads, cluster.net.store.writes);
+        (cluster.network.traffic.0, cluster.network.store.reads, cluster.network.store.writes);
 
     // Act
     cluster.run(Span::secs(60));
 
     // Assert
-    let each = (cluster.net.traffic.0 - bytes) as f64 / 9.0 / 60.0;
-    let reads = cluster.net.store.reads - reads;
-    let writes = cluster.net.store.writes - writes;
+    let each = (cluster.network.traffic.0 - bytes) as f64 / 9.0 / 60.0;
+    let reads = cluster.network.store.reads - reads;
+    let writes = cluster.network.store.writes - writes;
     println!("{each:.0} bytes/s a router, {reads} reads, {writes} writes in a minute");
     assert!(each < 7_000.0, "{each} bytes a second");
     assert!(reads <= 60 * 5, "{reads} reads");
--- a/replay/tests/orders.rs
+++ b/replay/tests/orders.rs
@@ -7,7 +7,7 @@
 use laburnumwheel_core::config::Source;
 use laburnumwheel_core::order;
 use laburnumwheel_core::time::Span;
-use laburnumwheel_replay::net::Mode;
+use laburnumwheel_replay::network::Mode;
 
 use support::Cluster;
 use support::Engine;
@@ -60,7 +60,7 @@
 fn a_group_is_brought_to_its_deployment() {
     // Arrange
     let mut cluster = start(true, 1);
-    cluster.net.store.publish(2, &config("v2", true));
+    cluster.network.store.publish(2, &config("v2", true));
 
     // Act
     run(&mut cluster, 20);
@@ -83,7 +83,7 @@
     for checks in [true, false] {
         // Arrange
         let mut cluster = start(checks, 2);
-        cluster.net.store.publish(2, &config("v2", checks));
+        cluster.network.store.publish(2, &config("v2", checks));
         run(&mut cluster, 2);
         let old = (0..40)
             .find_map(|_| {
@@ -93,15 +93,15 @@
             .expect("an order");
         let late = if checks { Span::secs(60) } else { order::MAX_ORDER_DELAY };
         cluster.order_delay.insert(old, late);
-        cluster.net.store.publish(3, &config("v2b", checks));
+        cluster.network.store.publish(3, &config("v2b", checks));
         run(&mut cluster, 4);
 
         // Act
-        cluster.net.pause(old);
-        cluster.net.store.publish(4, &config("v3", checks));
+        cluster.network.pause(old);
+        cluster.network.store.publish(4, &config("v3", checks));
         run(&mut cluster, 45);
         let new = orderer(&cluster);
-        cluster.net.resume(old);
+        cluster.network.resume(old);
         run(&mut cluster, 90);
 
         // Assert
@@ -123,14 +123,14 @@
 
     // Act
     for version in 2..8 {
-        cluster.net.store.publish(version, &config(&format!("v{version}"), true));
+        cluster.network.store.publish(version, &config(&format!("v{version}"), true));
         run(&mut cluster, 12);
         let Some((_, router, _)) = cluster.orders.last().copied() else {
             continue;
         };
-        cluster.net.pause(router);
+        cluster.network.pause(router);
         run(&mut cluster, 25);
-        cluster.net.resume(router);
+        cluster.network.resume(router);
     }
     run(&mut cluster, 40);
 
@@ -146,11 +146,11 @@
 fn a_lost_reply_to_the_lease_is_found_by_reading() {
     // Arrange
     let mut cluster = start(false, 4);
-    cluster.net.store.publish(2, &config("v2", false));
+    cluster.network.store.publish(2, &config("v2", false));
     cluster.run(Span::secs(3));
 
     // Act
-    cluster.net.store.mode = Mode::LoseReplies;
+    cluster.network.store.mode = Mode::LoseReplies;
     run(&mut cluster, 20);
 
     // Assert
@@ -162,9 +162,9 @@
 fn an_outage_stops_orders_when_the_lease_ends() {
     // Arrange
     let mut cluster = start(false, 5);
-    cluster.net.store.publish(2, &config("v2", false));
+    cluster.network.store.publish(2, &config("v2", false));
     cluster.run(Span::secs(5));
-    cluster.net.store.mode = Mode::Down;
+    cluster.network.store.mode = Mode::Down;
 
     // Act
     run(&mut cluster, 60);
--- a/replay/tests/rolling.rs
+++ b/replay/tests/rolling.rs
@@ -21,9 +21,9 @@
 }
 
 fn entry(cluster: &mut Cluster, number: usize) -> Caller {
-    let now = cluster.net.now;
-    let asked = (0..ROUTERS).map(|i| (i + number) % ROUTERS).find(|i| cluster.net.is_up(*i));
-    let node = cluster.net.node_mut(asked.expect("a router")).expect("it runs");
+    let now = cluster.network.now;
+    let asked = (0..ROUTERS).map(|i| (i + number) % ROUTERS).find(|i| cluster.network.is_up(*i));
+    let node = cluster.network.node_mut(asked.expect("a router")).expect("it runs");
     let answer = node.entry(now, None, None).expect("an answer");
     let first = &answer.addresses[0];
     let number = first.address.rsplit(':').next().and_then(|p| p.parse::<usize>().ok());
@@ -44,7 +44,7 @@
     for stopping in 0..ROUTERS {
         cluster.give(stopping, Event::Stop);
         let mut rounds = 0;
-        while cluster.net.is_up(stopping) {
+        while cluster.network.is_up(stopping) {
             rounds += 1;
             assert!(rounds < 600, "router {stopping} does not exit");
             for (n, caller) in callers.iter_mut().enumerate() {
--- a/replay/tests/spread.rs
+++ b/replay/tests/spread.rs
@@ -28,10 +28,10 @@
             if second > KEPT_S && !(second + caller as u64).is_multiple_of(KEPT_S) {
                 continue;
             }
-            let now = cluster.net.now;
+            let now = cluster.network.now;
             let asked = (caller + second as usize) % ROUTERS;
             let domain = if caller % 2 == 0 { "a" } else { "b" };
-            let node = cluster.net.node_mut(asked).expect("it runs");
+            let node = cluster.network.node_mut(asked).expect("it runs");
             let answer = node.entry(now, Some(domain), None).expect("an answer");
             let first = &answer.addresses[0];
             let port = first.address.rsplit(':').next().and_then(|p| p.parse::<usize>().ok());
--- a/replay/tests/support/mod.rs
+++ b/replay/tests/support/mod.rs
@@ -22,10 +22,10 @@
 use laburnumwheel_core::node::Node;
 use laburnumwheel_core::time::Span;
 use laburnumwheel_core::time::Time;
-use laburnumwheel_replay::net;
-use laburnumwheel_replay::net::Net;
-use laburnumwheel_replay::net::Router;
-use laburnumwheel_replay::net::Step;
+use laburnumwheel_replay::network;
+use laburnumwheel_replay::network::Network;
+use laburnumwheel_replay::network::Router;
+use laburnumwheel_replay::network::Step;
 
 const BETWEEN_DOMAINS: Span = Span(1_500);
 pub const WORK: Span = Span::millis(20);
@@ -55,7 +55,7 @@
 
 /// A cluster under test.
 pub struct Cluster {
-    pub net: Net<Item>,
+    pub network: Network<Item>,
     /// How often each body ran.
     pub runs: BTreeMap<Bytes, u32>,
     /// Outcomes by router and request.
@@ -97,16 +97,17 @@
 }
 
 /// A node of the cluster with the number `i`.
-pub fn node(i: usize, incarnation: u64, seed: u64, net: &Net<Item>) -> Router {
-    let settings = net::settings(i, if i.is_multiple_of(2) { "a" } else { "b" }, incarnation, seed);
-    Router::Node(Box::new(Node::new(settings, net.now)))
+pub fn node(i: usize, incarnation: u64, seed: u64, network: &Network<Item>) -> Router {
+    let settings =
+        network::settings(i, if i.is_multiple_of(2) { "a" } else { "b" }, incarnation, seed);
+    Router::Node(Box::new(Node::new(settings, network.now)))
 }
 
 impl Cluster {
     /// So many routers, serving, with a configuration in force.
     pub fn start(routers: usize, seed: u64) -> Cluster {
         let mut cluster = Cluster {
-            net: Net::new(BETWEEN_DOMAINS),
+            network: Network::new(BETWEEN_DOMAINS),
             runs: BTreeMap::new(),
             ends: BTreeMap::new(),
             exited: Vec::new(),
@@ -119,10 +120,10 @@
             incarnation: 1,
             seed,
         };
-        cluster.net.store.publish(1, &config(1));
+        cluster.network.store.publish(1, &config(1));
         for i in 0..routers {
-            let router = node(i, 1, seed, &cluster.net);
-            cluster.net.add(router, i % 2);
+            let router = node(i, 1, seed, &cluster.network);
+            cluster.network.add(router, i % 2);
         }
         cluster.run(Span::secs(8));
         for i in 0..routers {
@@ -134,14 +135,14 @@
     /// Starts a new run of a router that is down.
     pub fn restart(&mut self, router: usize) {
         self.incarnation += 1;
-        let fresh = node(router, self.incarnation, self.seed, &self.net);
-        self.net.start(router, fresh);
+        let fresh = node(router, self.incarnation, self.seed, &self.network);
+        self.network.start(router, fresh);
     }
 
     /// Lets time pass.
     pub fn run(&mut self, span: Span) {
-        let until = self.net.now + span;
-        while let Some(step) = self.net.next(until) {
+        let until = self.network.now + span;
+        while let Some(step) = self.network.next(until) {
             match step {
                 Step::Own(Item::Arrive(router, d)) => self.arrive(router, d),
                 Step::Own(Item::Answer(router, d)) => self.answer(router, &d),
@@ -153,10 +154,10 @@
 
     /// Lets time pass until a condition holds; returns how long that took.
     pub fn run_until(&mut self, most: Span, done: impl Fn(&Cluster) -> bool) -> Option<Span> {
-        let began = self.net.now;
-        while self.net.now.since(began) < most {
+        let began = self.network.now;
+        while self.network.now.since(began) < most {
             if done(self) {
-                return Some(self.net.now.since(began));
+                return Some(self.network.now.since(began));
             }
             self.run(Span::millis(10));
         }
@@ -165,7 +166,7 @@
 
     fn arrive(&mut self, router: usize, d: Box<Dispatch>) {
         *self.runs.entry(d.body.clone()).or_default() += 1;
-        self.net.schedule(WORK, Item::Answer(router, d));
+        self.network.schedule(WORK, Item::Answer(router, d));
     }
 
     fn order(&mut self, router: usize, order: Order) {
@@ -187,7 +188,7 @@
     /// All routers hear what the engines have.
     pub fn tell_deployed(&mut self) {
         for (name, engine) in self.engines.clone() {
-            for router in 0..self.net.len() {
+            for router in 0..self.network.len() {
                 self.give(router, Event::Deployed(name.clone(), engine.deployment.clone()));
             }
         }
@@ -202,26 +203,26 @@
         } else {
             let text = d.body.clone();
             let frame = Event::Frame { attempt, echo: attempt, offset: 0, tokens: 0, text };
-            let actions = self.net.give(router, frame);
+            let actions = self.network.give(router, frame);
             self.perform(router, actions);
             Event::Ended { attempt, echo: attempt, status: 200 }
         };
-        let actions = self.net.give(router, event);
+        let actions = self.network.give(router, event);
         self.perform(router, actions);
     }
 
     fn perform(&mut self, router: usize, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Dispatch(d) => self.net.schedule(Span(500), Item::Arrive(router, d)),
+                Action::Dispatch(d) => self.network.schedule(Span(500), Item::Arrive(router, d)),
                 Action::Finish(id, outcome) => {
                     let before = self.ends.insert((router, id), outcome);
                     assert_eq!(before, None, "a request ends once");
                 }
                 Action::Order(order) => {
-                    self.orders.push((self.net.now, router, order.fence));
+                    self.orders.push((self.network.now, router, order.fence));
                     let delay = self.order_delay.get(&router).copied().unwrap_or(Span::millis(1));
-                    self.net.schedule(delay, Item::Order(router, order));
+                    self.network.schedule(delay, Item::Order(router, order));
                 }
                 Action::Exit => self.exited.push(router),
                 _ => {}
@@ -231,7 +232,7 @@
 
     /// The key prefix of a router.
     pub fn prefix(&self, router: usize) -> String {
-        let node = self.net.node(router).expect("it runs");
+        let node = self.network.node(router).expect("it runs");
         let own = node.members().next().expect("itself");
         laburnumwheel_core::idempotency::prefix(&own.home(), own.epoch)
     }
@@ -256,14 +257,14 @@
             idempotent: false,
             idempotency_key: (!key.is_empty()).then(|| key.to_owned()),
         };
-        let actions = self.net.give(router, Event::Request(id, Box::new(submission)));
+        let actions = self.network.give(router, Event::Request(id, Box::new(submission)));
         self.perform(router, actions);
         id
     }
 
     /// Sends an event to a router.
     pub fn give(&mut self, router: usize, event: Event) {
-        let actions = self.net.give(router, event);
+        let actions = self.network.give(router, event);
         self.perform(router, actions);
     }
 
@@ -292,18 +293,18 @@
 
     /// Routers that callers may be sent to, in this router's view.
     pub fn serving_seen_by(&self, router: usize) -> usize {
-        let node = self.net.node(router).expect("it runs");
+        let node = self.network.node(router).expect("it runs");
         node.members().filter(|r| r.accepts_callers()).count()
     }
 
     /// Whether a router's entry answers may name another.
     pub fn names(&self, router: usize, other: usize) -> bool {
-        let node = self.net.node(router).expect("it runs");
+        let node = self.network.node(router).expect("it runs");
         node.members().any(|r| r.accepts_callers() && r.name == format!("r{other}"))
     }
 
     /// Version in force at a router.
     pub fn version(&self, router: usize) -> u64 {
-        self.net.node(router).map_or(0, Node::config_version)
+        self.network.node(router).map_or(0, Node::config_version)
     }
 }
--- a/replay/tests/traces.rs
+++ b/replay/tests/traces.rs
@@ -4,12 +4,12 @@
 use laburnumwheel_replay::baseline::Kind;
 use laburnumwheel_replay::report;
 use laburnumwheel_replay::scenario::Scenario;
+use laburnumwheel_replay::simulation;
+use laburnumwheel_replay::simulation::Found;
+use laburnumwheel_replay::simulation::Policy;
 use laburnumwheel_replay::site::Site;
 use laburnumwheel_replay::trace;
 use laburnumwheel_replay::trace::Record;
-use laburnumwheel_replay::world;
-use laburnumwheel_replay::world::Found;
-use laburnumwheel_replay::world::Policy;
 
 const SEED: u64 = 1;
 
@@ -24,7 +24,7 @@
 fn replay(name: &str, policy: Policy, scenario: Scenario) -> (Site, Found) {
     let (site, records) = load(name);
     let faults = scenario.faults(&site);
-    let found = world::run(&site, &records, policy, &faults, SEED).expect("a valid site");
+    let found = simulation::run(&site, &records, policy, &faults, SEED).expect("a valid site");
     (site, found)
 }
 
--- a/replay/tests/versions.rs
+++ b/replay/tests/versions.rs
@@ -3,14 +3,14 @@
 mod support;
 
 use laburnumwheel_core::time::Span;
-use laburnumwheel_replay::net::Mode;
+use laburnumwheel_replay::network::Mode;
 
 use support::Cluster;
 
 const WITHIN: Span = Span::secs(8);
 
 fn in_force(cluster: &Cluster, version: u64) -> bool {
-    (0..cluster.net.len()).all(|i| cluster.version(i) >= version)
+    (0..cluster.network.len()).all(|i| cluster.version(i) >= version)
 }
 
 /// Changes of a configuration with 2,000 organisations: how long until each is in force at all
@@ -20,24 +20,24 @@
     // Arrange
     let mut cluster = Cluster::start(9, 1);
     let mut config = support::config(2_000);
-    cluster.net.store.publish(2, &config);
+    cluster.network.store.publish(2, &config);
     cluster.run(WITHIN);
     let mut longest = Span(0);
-    let (bytes, reads) = (cluster.net.traffic.0, cluster.net.store.reads);
-    let began = cluster.net.now;
+    let (bytes, reads) = (cluster.network.traffic.0, cluster.network.store.reads);
+    let began = cluster.network.now;
 
     // Act
     for version in 3..=42 {
         config.organisations[version as usize].weight = version as u32;
-        cluster.net.store.publish(version, &config);
+        cluster.network.store.publish(version, &config);
         let took = cluster.run_until(WITHIN, |c| in_force(c, version));
         longest = longest.max(took.expect("in force within 8 s"));
     }
 
     // Assert
-    let seconds = cluster.net.now.since(began).as_secs_f64();
-    let reads = (cluster.net.store.reads - reads) as f64;
-    let each = (cluster.net.traffic.0 - bytes) as f64 / 9.0 / 40.0;
+    let seconds = cluster.network.now.since(began).as_secs_f64();
+    let reads = (cluster.network.store.reads - reads) as f64;
+    let each = (cluster.network.traffic.0 - bytes) as f64 / 9.0 / 40.0;
     println!(
         "longest {longest}, {:.1} reads a change beside 3.5 a second, {each:.0} bytes a router \
          and change, gossip included",
@@ -52,11 +52,11 @@
 fn an_outage_does_not_stop_a_change_under_way() {
     // Arrange
     let mut cluster = Cluster::start(9, 2);
-    cluster.net.store.publish(2, &support::config(3));
+    cluster.network.store.publish(2, &support::config(3));
     let first = cluster.run_until(WITHIN, |c| (0..9).any(|i| c.version(i) == 2));
 
     // Act
-    cluster.net.store.mode = Mode::Down;
+    cluster.network.store.mode = Mode::Down;
     let rest = cluster.run_until(WITHIN, |c| in_force(c, 2));
 
     // Assert
@@ -69,33 +69,33 @@
 fn a_restart_in_an_outage_brings_no_old_version_back() {
     // Arrange
     let mut cluster = Cluster::start(9, 3);
-    cluster.net.partition(&[8]);
-    cluster.net.store.publish(2, &support::config(3));
+    cluster.network.partition(&[8]);
+    cluster.network.store.publish(2, &support::config(3));
     // Router 8 must not read the change itself.
-    cluster.net.pause(8);
+    cluster.network.pause(8);
     cluster.run(WITHIN);
-    cluster.net.store.mode = Mode::Down;
-    cluster.net.resume(8);
-    cluster.net.kill(0);
+    cluster.network.store.mode = Mode::Down;
+    cluster.network.resume(8);
+    cluster.network.kill(0);
     cluster.run(Span::secs(10));
-    cluster.net.cut.clear();
+    cluster.network.cut.clear();
 
     // Act
-    let mut settings = laburnumwheel_replay::net::settings(0, "a", 2, 3);
-    settings.seeds = (1..9).map(laburnumwheel_replay::net::peer_address).rev().collect();
-    let node = laburnumwheel_core::node::Node::new(settings, cluster.net.now);
-    cluster.net.start(0, laburnumwheel_replay::net::Router::Node(Box::new(node)));
+    let mut settings = laburnumwheel_replay::network::settings(0, "a", 2, 3);
+    settings.seeds = (1..9).map(laburnumwheel_replay::network::peer_address).rev().collect();
+    let node = laburnumwheel_core::node::Node::new(settings, cluster.network.now);
+    cluster.network.start(0, laburnumwheel_replay::network::Router::Node(Box::new(node)));
     let mut served_old = false;
     for _ in 0..200 {
         cluster.run(Span::millis(100));
-        let node = cluster.net.node(0).expect("it runs");
+        let node = cluster.network.node(0).expect("it runs");
         served_old |= node.is_serving() && node.config_version() < 2;
     }
 
     // Assert
     assert!(!served_old);
     assert_eq!(cluster.version(0), 2);
-    assert!(cluster.net.node(0).expect("it runs").is_serving());
+    assert!(cluster.network.node(0).expect("it runs").is_serving());
 }
 
 /// Regions part while changes go on; the side that can't reach the service stays behind, catches
@@ -105,15 +105,15 @@
     // Arrange
     let mut cluster = Cluster::start(9, 4);
     let mut highest = [0; 9];
-    cluster.net.partition(&[0, 1, 2]);
-    cluster.net.lose_one_in = 6;
+    cluster.network.partition(&[0, 1, 2]);
+    cluster.network.lose_one_in = 6;
 
     // Act
     let mut went_back = false;
     for version in 2..=10 {
-        cluster.net.store.publish(version, &support::config(version as usize));
+        cluster.network.store.publish(version, &support::config(version as usize));
         if version == 6 {
-            cluster.net.cut.clear();
+            cluster.network.cut.clear();
         }
         for _ in 0..80 {
             cluster.run(Span::millis(100));
