--- a/ctl/src/cmd/record.rs
+++ b/ctl/src/cmd/record.rs
@@ -29,13 +29,13 @@
     };
     let file = args.need("outcomes")?;
     let site = Site::read(&file, &util::read(&file)?)?;
-    let mixes: &[generate::Mix] = match site.name.as_str() {
+    let traffic: &[generate::Traffic] = match site.name.as_str() {
         "auction" => &generate::AUCTION,
         "kitchen" => &generate::KITCHEN,
         other => return Err(Error::Usage(format!("no traffic is known for the site {other}"))),
     };
     let seed = args.parse("seed")?.unwrap_or(1);
-    let records = generate::trace(&site, mixes, LENGTH_MS, seed);
+    let records = generate::trace(&site, traffic, LENGTH_MS, seed);
     let head = "at_ms,organisation,class,prompt,prefix,output";
     let out = args.operand("the trace to write")?;
     fs::write(out, trace::write(head, &records)).map_err(|e| Error::File(out.to_owned(), e))?;
--- a/ctl/src/cmd/replay.rs
+++ b/ctl/src/cmd/replay.rs
@@ -49,12 +49,12 @@
     for scenario in scenarios {
         for (name, policy) in &policies {
             let faults = scenario.faults(&site);
-            let found = simulation::run(&site, &records, *policy, &faults, seed)?;
+            let results = simulation::run(&site, &records, *policy, &faults, seed)?;
             println!("\n{}, {name}, fault {scenario}", site.name);
-            util::table(&report::rows(&site, &found));
-            println!("{}", report::summary(&found));
+            util::table(&report::rows(&site, &results));
+            println!("{}", report::summary(&results));
             if *policy == Policy::Core {
-                let these = report::missed(&site, &found, scenario != Scenario::None);
+                let these = report::missed(&site, &results, scenario != Scenario::None);
                 missed.extend(these.into_iter().map(|m| format!("{scenario}: {m}")));
             }
         }
--- a/replay/src/fake.rs
+++ b/replay/src/fake.rs
@@ -14,7 +14,7 @@
 const SPARED: u32 = 2;
 
 /// A try at an upstream: which router's, and its number there.
-pub type TryId = (usize, AttemptId);
+pub type AttemptKey = (usize, AttemptId);
 
 /// What an upstream runs for a try.
 #[derive(Clone, Copy, Debug)]
@@ -44,9 +44,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Output {
     /// Token `n` of the answer.
-    Token(TryId, usize, u32),
+    Token(AttemptKey, usize, u32),
     /// The answer is whole.
-    Done(TryId, usize),
+    Done(AttemptKey, usize),
 }
 
 /// A model engine with continuous batching, a priority queue and a prefix cache.
@@ -64,8 +64,8 @@
     pub stepping: bool,
     /// Tokens generated.
     pub generated: u64,
-    running: BTreeMap<TryId, Running>,
-    waiting: BTreeMap<(u8, u64), (TryId, Job)>,
+    running: BTreeMap<AttemptKey, Running>,
+    waiting: BTreeMap<(u8, u64), (AttemptKey, Job)>,
     arrivals: u64,
     cache: Vec<u64>,
     gained: Vec<u64>,
@@ -95,19 +95,19 @@
     }
 
     /// Takes a try in.
-    pub fn submit(&mut self, id: TryId, job: Job) {
+    pub fn submit(&mut self, id: AttemptKey, job: Job) {
         self.arrivals += 1;
         self.waiting.insert((job.priority, self.arrivals), (id, job));
     }
 
     /// Drops a try.
-    pub fn cancel(&mut self, id: TryId) {
+    pub fn cancel(&mut self, id: AttemptKey) {
         self.running.remove(&id);
         self.waiting.retain(|_, (t, _)| *t != id);
     }
 
     /// Drops everything and returns the tries.
-    pub fn crash(&mut self) -> Vec<TryId> {
+    pub fn crash(&mut self) -> Vec<AttemptKey> {
         self.crashed = true;
         let running = std::mem::take(&mut self.running).into_keys();
         let waiting = std::mem::take(&mut self.waiting).into_values().map(|(t, _)| t);
--- a/replay/src/generate.rs
+++ b/replay/src/generate.rs
@@ -17,13 +17,13 @@
 
 /// Traffic of one class.
 #[derive(Clone, Copy, Debug)]
-pub struct Mix {
+pub struct Traffic {
     /// Class, a number into the site's list.
     pub class: usize,
     /// Requests a second before and after the burst.
-    pub calm: f64,
+    pub base_rate: f64,
     /// Requests a second in the burst.
-    pub burst: f64,
+    pub burst_rate: f64,
     /// Mean tokens of an answer; 0 for a plain service.
     pub output: f64,
     /// Mean tokens of a prompt.
@@ -38,15 +38,15 @@
 const LARGE: f64 = 0.66;
 
 /// Draws a trace of `length_ms` for the site.
-pub fn trace(site: &Site, mixes: &[Mix], length_ms: u64, seed: u64) -> Vec<Record> {
+pub fn trace(site: &Site, traffic: &[Traffic], length_ms: u64, seed: u64) -> Vec<Record> {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut records = Vec::new();
-    for mix in mixes {
+    for class_traffic in traffic {
         let mut at = 0.0;
         loop {
             let (from, to) = site.burst_ms;
             let inside = (from as f64..to as f64).contains(&at);
-            let rate = if inside { mix.burst } else { mix.calm };
+            let rate = if inside { class_traffic.burst_rate } else { class_traffic.base_rate };
             let Ok(gap) = Exp::new(rate / 1000.0) else {
                 break;
             };
@@ -56,7 +56,7 @@
             if at >= length_ms as f64 {
                 break;
             }
-            records.push(record(site, mix, at as u64, &mut rng));
+            records.push(record(site, class_traffic, at as u64, &mut rng));
         }
     }
     records.sort_by_key(|r| (r.at_ms, r.class, r.org, r.prefix));
@@ -68,31 +68,31 @@
     LogNormal::new(mu, SIGMA).map_or(mean, |d| d.sample(rng))
 }
 
-fn record(site: &Site, mix: &Mix, at_ms: u64, rng: &mut StdRng) -> Record {
+fn record(site: &Site, traffic: &Traffic, at_ms: u64, rng: &mut StdRng) -> Record {
     let orgs = site.callers.len();
     let large = rng.random_bool(LARGE);
     let org = if large { rng.random_range(0..3) } else { rng.random_range(3..orgs) };
     let prefix = Zipf::new(PREFIXES, SKEW).map_or(1.0, |d| d.sample(rng)) as u64;
-    let output = if mix.output > 0.0 {
-        log_normal(mix.output, rng).clamp(1.0, MAX_OUTPUT) as u32
+    let output = if traffic.output > 0.0 {
+        log_normal(traffic.output, rng).clamp(1.0, MAX_OUTPUT) as u32
     } else {
         0
     };
-    let prompt = log_normal(mix.prompt, rng).clamp(8.0, MAX_OUTPUT) as u32;
-    Record { at_ms, org, class: mix.class, prompt, prefix, output }
+    let prompt = log_normal(traffic.prompt, rng).clamp(8.0, MAX_OUTPUT) as u32;
+    Record { at_ms, org, class: traffic.class, prompt, prefix, output }
 }
 
 /// The auction house: an auction closes for a minute.
-pub const AUCTION: [Mix; 3] = [
-    Mix { class: 0, calm: 10.0, burst: 60.0, output: 0.0, prompt: 50.0 },
-    Mix { class: 1, calm: 35.0, burst: 80.0, output: 110.0, prompt: 300.0 },
-    Mix { class: 2, calm: 12.0, burst: 105.0, output: 270.0, prompt: 400.0 },
+pub const AUCTION: [Traffic; 3] = [
+    Traffic { class: 0, base_rate: 10.0, burst_rate: 60.0, output: 0.0, prompt: 50.0 },
+    Traffic { class: 1, base_rate: 35.0, burst_rate: 80.0, output: 110.0, prompt: 300.0 },
+    Traffic { class: 2, base_rate: 12.0, burst_rate: 105.0, output: 270.0, prompt: 400.0 },
 ];
 
 /// Cardápio Seguro: every kitchen at seven in the morning.
-pub const KITCHEN: [Mix; 4] = [
-    Mix { class: 0, calm: 20.0, burst: 80.0, output: 32.0, prompt: 200.0 },
-    Mix { class: 1, calm: 5.0, burst: 30.0, output: 0.0, prompt: 50.0 },
-    Mix { class: 2, calm: 30.0, burst: 75.0, output: 90.0, prompt: 600.0 },
-    Mix { class: 3, calm: 10.0, burst: 92.0, output: 320.0, prompt: 300.0 },
+pub const KITCHEN: [Traffic; 4] = [
+    Traffic { class: 0, base_rate: 20.0, burst_rate: 80.0, output: 32.0, prompt: 200.0 },
+    Traffic { class: 1, base_rate: 5.0, burst_rate: 30.0, output: 0.0, prompt: 50.0 },
+    Traffic { class: 2, base_rate: 30.0, burst_rate: 75.0, output: 90.0, prompt: 600.0 },
+    Traffic { class: 3, base_rate: 10.0, burst_rate: 92.0, output: 320.0, prompt: 300.0 },
 ];
--- a/replay/src/report.rs
+++ b/replay/src/report.rs
@@ -1,11 +1,11 @@
-//! Tables of what replays found, and the comparison with stated outcomes.
+//! Tables of the results of replays, and the comparison with stated outcomes.
 
 use crate::caller::End;
-use crate::simulation::Found;
+use crate::simulation::Results;
 use crate::site::Site;
 
 /// Rows of a table by class.
-pub fn rows(site: &Site, found: &Found) -> Vec<Vec<String>> {
+pub fn rows(site: &Site, results: &Results) -> Vec<Vec<String>> {
     let head = [
         "class",
         "sent",
@@ -21,7 +21,7 @@
         "least/window",
     ];
     let mut rows = vec![head.map(str::to_owned).to_vec()];
-    for (class, tally) in site.class.iter().zip(&found.tallies) {
+    for (class, tally) in site.class.iter().zip(&results.tallies) {
         let count = |end| tally.count(end).to_string();
         rows.push(vec![
             class.name.clone(),
@@ -50,31 +50,31 @@
 }
 
 /// One line under the table.
-pub fn summary(found: &Found) -> String {
+pub fn summary(results: &Results) -> String {
     let sum =
-        |f: fn(&laburnumwheel_core::stats::Stats) -> u64| found.stats.iter().map(f).sum::<u64>();
+        |f: fn(&laburnumwheel_core::stats::Stats) -> u64| results.stats.iter().map(f).sum::<u64>();
     format!(
         "goodput {} of {} best ({:.1}%), wasted {:.2}%, retries {}, preemptions {}, stalls {}, \
          broken promises {:?}",
-        found.goodput,
-        found.best,
-        found.goodput_part(),
-        found.wasted(),
+        results.goodput,
+        results.max_goodput,
+        results.goodput_percent(),
+        results.wasted_percent(),
         sum(|s| s.retries),
         sum(|s| s.preemptions),
         sum(|s| s.stalls),
-        found.broken,
+        results.broken,
     )
 }
 
 /// Stated outcomes that were missed; `faulty` takes the allowance for waste under faults.
-pub fn missed(site: &Site, found: &Found, faulty: bool) -> Vec<String> {
+pub fn missed(site: &Site, results: &Results, faulty: bool) -> Vec<String> {
     let aims = &site.outcomes;
     let mut missed = Vec::new();
-    if found.broken.total() > 0 {
-        missed.push(format!("broken promises: {:?}", found.broken));
+    if results.broken.total() > 0 {
+        missed.push(format!("broken promises: {:?}", results.broken));
     }
-    for (class, tally) in site.class.iter().zip(&found.tallies) {
+    for (class, tally) in site.class.iter().zip(&results.tallies) {
         let attainment = tally.attainment();
         if class.protected && attainment < aims.protected_attainment {
             let aim = aims.protected_attainment;
@@ -85,12 +85,12 @@
             missed.push(format!("{}: starved in a window of the burst {windows:?}", class.name));
         }
     }
-    if !faulty && found.goodput_part() < aims.goodput {
-        missed.push(format!("goodput {:.1}%, aim {}%", found.goodput_part(), aims.goodput));
+    if !faulty && results.goodput_percent() < aims.goodput {
+        missed.push(format!("goodput {:.1}%, aim {}%", results.goodput_percent(), aims.goodput));
     }
     let wasted = if faulty { aims.wasted_faulty } else { aims.wasted };
-    if found.wasted() > wasted {
-        missed.push(format!("wasted {:.2}%, aim {wasted}%", found.wasted()));
+    if results.wasted_percent() > wasted {
+        missed.push(format!("wasted {:.2}%, aim {wasted}%", results.wasted_percent()));
     }
     missed
 }
--- a/replay/src/simulation.rs
+++ b/replay/src/simulation.rs
@@ -26,9 +26,9 @@
 use crate::caller::Call;
 use crate::caller::Tally;
 use crate::error::Error;
+use crate::fake::AttemptKey;
 use crate::fake::Engine;
 use crate::fake::Service;
-use crate::fake::TryId;
 use crate::network;
 use crate::network::Network;
 use crate::network::Router;
@@ -105,11 +105,11 @@
     /// A try arrives at an upstream.
     Arrive(usize, usize, Box<Dispatch>),
     /// A stop of a try arrives at an upstream.
-    Stop(usize, TryId),
+    Stop(usize, AttemptKey),
     /// An engine's step is over.
     Step(usize),
     /// A call at a service is over.
-    Served(usize, TryId, usize),
+    Served(usize, AttemptKey, usize),
     /// Part of an answer reaches its caller.
     Part(usize, RequestId, Bytes),
     /// The end reaches its caller.
@@ -139,9 +139,9 @@
     until: Time,
 }
 
-/// What a replay found.
+/// Results of a replay.
 #[derive(Clone, Debug)]
-pub struct Found {
+pub struct Results {
     /// By class.
     pub tallies: Vec<Tally>,
     /// Promises broken.
@@ -151,25 +151,25 @@
     /// Tokens in whole answers.
     pub goodput: u64,
     /// Tokens of the best that the engines could do.
-    pub best: u64,
+    pub max_goodput: u64,
     /// Counters of the core's routers, added up where that has a meaning.
     pub stats: Vec<Stats>,
     /// Reads of and writes to the key-value service.
     pub kv_calls: (u64, u64),
     /// Bytes that routers sent each other, a second and router.
-    pub peer_bytes: f64,
+    pub peer_bytes_per_second: f64,
 }
 
-impl Found {
+impl Results {
     /// Tokens generated for answers that nobody got whole, in percent of all generated.
-    pub fn wasted(&self) -> f64 {
+    pub fn wasted_percent(&self) -> f64 {
         let wasted = self.generated.saturating_sub(self.goodput);
         100.0 * wasted as f64 / self.generated.max(1) as f64
     }
 
     /// Goodput against the best possible, in percent.
-    pub fn goodput_part(&self) -> f64 {
-        100.0 * self.goodput as f64 / self.best.max(1) as f64
+    pub fn goodput_percent(&self) -> f64 {
+        100.0 * self.goodput as f64 / self.max_goodput.max(1) as f64
     }
 }
 
@@ -190,15 +190,15 @@
     ran: BTreeMap<usize, u64>,
     kept: BTreeMap<(usize, usize), Kept>,
     faults: Vec<Fault>,
-    silent: BTreeSet<TryId>,
-    open: BTreeMap<TryId, usize>,
+    silent: BTreeSet<AttemptKey>,
+    open: BTreeMap<AttemptKey, usize>,
     frozen: Option<(Time, Vec<Load>)>,
     cache_sequence: Vec<u64>,
     broken: Broken,
     rng: StdRng,
 }
 
-/// Runs a trace and reports what was found.
+/// Runs a trace and returns the results.
 ///
 /// # Errors
 ///
@@ -209,7 +209,7 @@
     policy: Policy,
     faults: &[(u64, Fault)],
     seed: u64,
-) -> Result<Found, Error> {
+) -> Result<Results, Error> {
     let config = site.config()?;
     let mut simulation = Simulation::new(site, trace, policy, &config, seed);
     simulation.schedule(faults);
@@ -221,7 +221,7 @@
             Step::Actions(router, actions) => simulation.perform(router, actions),
         }
     }
-    Ok(simulation.found(length))
+    Ok(simulation.results(length))
 }
 
 impl<'a> Simulation<'a> {
@@ -301,7 +301,7 @@
         match item {
             Item::Send(record) => self.send(record),
             Item::Arrive(router, upstream, dispatch) => self.arrive(router, upstream, *dispatch),
-            Item::Stop(upstream, id) => self.stop_try(upstream, id),
+            Item::Stop(upstream, id) => self.cancel_attempt(upstream, id),
             Item::Step(upstream) => self.step(upstream),
             Item::Served(upstream, id, record) => self.served(upstream, id, record),
             Item::Part(router, request, text) => self.part(router, request, &text),
@@ -362,7 +362,7 @@
         if same { Span(100) } else { Span(self.site.between_domains_us) }
     }
 
-    fn found(self, length_ms: u64) -> Found {
+    fn results(self, length_ms: u64) -> Results {
         let began = self.began;
         let mut broken = self.broken;
         let tallies = caller::tally(self.site, self.trace, &self.calls, began, &mut broken);
@@ -372,15 +372,17 @@
         });
         let nodes = (0..self.network.len()).filter_map(|i| self.network.node(i));
         let seconds = (Span::millis(length_ms) + COOL_DOWN + WARM_UP).as_secs_f64();
-        Found {
+        Results {
             goodput: tallies.iter().map(|t| t.tokens).sum(),
             tallies,
             broken,
             generated: generated.sum(),
-            best: bound::best(self.site, self.trace),
+            max_goodput: bound::max_goodput(self.site, self.trace),
             stats: nodes.map(|n| n.stats().clone()).collect(),
             kv_calls: (self.network.store.reads, self.network.store.writes),
-            peer_bytes: self.network.traffic.0 as f64 / seconds / self.network.len().max(1) as f64,
+            peer_bytes_per_second: self.network.traffic.0 as f64
+                / seconds
+                / self.network.len().max(1) as f64,
         }
     }
 }
--- a/replay/src/simulation/bound.rs
+++ b/replay/src/simulation/bound.rs
@@ -7,7 +7,7 @@
 
 /// Output tokens of the best that the engines could do: one queue before all slots, no step ever
 /// empty while work waits, and work dropped only when the longest patience is over.
-pub fn best(site: &Site, trace: &[Record]) -> u64 {
+pub fn max_goodput(site: &Site, trace: &[Record]) -> u64 {
     const SLICE_MS: u64 = 10;
     let mut total = 0.0;
     for group in site.group.iter().filter(|g| g.model.is_some()) {
--- a/replay/src/simulation/faults.rs
+++ b/replay/src/simulation/faults.rs
@@ -8,7 +8,7 @@
 use super::Item;
 use super::Simulation;
 use super::Upstream;
-use crate::fake::TryId;
+use crate::fake::AttemptKey;
 use crate::network;
 
 /// The platform's host list lags by this much.
@@ -39,7 +39,7 @@
             }
             Fault::LoseRouter { router } => {
                 self.network.kill(router);
-                let there: Vec<(TryId, usize)> = self
+                let there: Vec<(AttemptKey, usize)> = self
                     .open
                     .iter()
                     .filter(|(id, _)| id.0 == router)
@@ -47,7 +47,7 @@
                     .collect();
                 for (id, upstream) in there {
                     self.open.remove(&id);
-                    self.stop_try(upstream, id);
+                    self.cancel_attempt(upstream, id);
                 }
                 self.break_callers(router);
             }
@@ -67,7 +67,7 @@
             Upstream::Service(service) => service.crashed = true,
         }
         let there = self.open.iter().filter(|(_, u)| **u == upstream);
-        let there: Vec<TryId> = there.map(|(id, _)| *id).collect();
+        let there: Vec<AttemptKey> = there.map(|(id, _)| *id).collect();
         for id in there {
             self.fail(upstream, id, Failure::Broken);
         }
--- a/replay/src/simulation/upstreams.rs
+++ b/replay/src/simulation/upstreams.rs
@@ -13,9 +13,9 @@
 use super::REPORT_EVERY;
 use super::Simulation;
 use super::Upstream;
+use crate::fake::AttemptKey;
 use crate::fake::Job;
 use crate::fake::Output;
-use crate::fake::TryId;
 
 /// One cache event in so many is lost.
 const CACHE_LOSS: u32 = 20;
@@ -23,7 +23,7 @@
 const CONNECT_ERROR: Span = Span::millis(1);
 
 impl Simulation<'_> {
-    pub(super) fn fail(&mut self, upstream: usize, id: TryId, failure: Failure) {
+    pub(super) fn fail(&mut self, upstream: usize, id: AttemptKey, failure: Failure) {
         self.open.remove(&id);
         let delay = self.delay(id.0, upstream);
         self.network.event_after(delay, id.0, Event::Failed(id.1, failure));
@@ -78,7 +78,7 @@
         }
     }
 
-    pub(super) fn stop_try(&mut self, upstream: usize, id: TryId) {
+    pub(super) fn cancel_attempt(&mut self, upstream: usize, id: AttemptKey) {
         if let Upstream::Engine(engine) = &mut self.upstreams[upstream] {
             engine.cancel(id);
         }
@@ -126,7 +126,7 @@
         self.network.event_after(delay, router, event);
     }
 
-    pub(super) fn served(&mut self, upstream: usize, id: TryId, _record: usize) {
+    pub(super) fn served(&mut self, upstream: usize, id: AttemptKey, _record: usize) {
         if let Upstream::Service(service) = &mut self.upstreams[upstream] {
             service.end();
             if service.crashed {
--- a/replay/tests/traces.rs
+++ b/replay/tests/traces.rs
@@ -5,8 +5,8 @@
 use laburnumwheel_replay::report;
 use laburnumwheel_replay::scenario::Scenario;
 use laburnumwheel_replay::simulation;
-use laburnumwheel_replay::simulation::Found;
 use laburnumwheel_replay::simulation::Policy;
+use laburnumwheel_replay::simulation::Results;
 use laburnumwheel_replay::site::Site;
 use laburnumwheel_replay::trace;
 use laburnumwheel_replay::trace::Record;
@@ -21,19 +21,19 @@
     (site, records)
 }
 
-fn replay(name: &str, policy: Policy, scenario: Scenario) -> (Site, Found) {
+fn replay(name: &str, policy: Policy, scenario: Scenario) -> (Site, Results) {
     let (site, records) = load(name);
     let faults = scenario.faults(&site);
-    let found = simulation::run(&site, &records, policy, &faults, SEED).expect("a valid site");
-    (site, found)
+    let results = simulation::run(&site, &records, policy, &faults, SEED).expect("a valid site");
+    (site, results)
 }
 
 fn assert_reached(name: &str, scenario: Scenario) {
     // Act
-    let (site, found) = replay(name, Policy::Core, scenario);
+    let (site, results) = replay(name, Policy::Core, scenario);
 
     // Assert
-    let missed = report::missed(&site, &found, scenario != Scenario::None);
+    let missed = report::missed(&site, &results, scenario != Scenario::None);
     assert!(missed.is_empty(), "{name} {scenario}: {missed:?}");
 }
 
@@ -76,11 +76,11 @@
 fn planned_stops_cut_nothing_off() {
     for scenario in [Scenario::StopEngine, Scenario::StopRouter] {
         // Act
-        let (site, found) = replay("auction", Policy::Core, scenario);
+        let (site, results) = replay("auction", Policy::Core, scenario);
 
         // Assert
-        assert_eq!(report::missed(&site, &found, true), Vec::<String>::new());
-        for tally in &found.tallies {
+        assert_eq!(report::missed(&site, &results, true), Vec::<String>::new());
+        for tally in &results.tallies {
             use laburnumwheel_replay::caller::End;
             let cut = [End::Broken, End::Unknown].map(|e| tally.count(e));
             assert_eq!(cut, [0, 0], "{scenario}");
