--- a/replay/src/network.rs
+++ b/replay/src/network.rs
@@ -113,43 +113,43 @@
     Tick(usize, u64),
     Event(usize, u64, Box<Event>),
     Kv(usize, u64, KvCall),
-    Own(I),
+    Scheduled(I),
 }
 
 #[derive(Debug)]
-struct Timed<I> {
+struct Entry<I> {
     at: Time,
     sequence: u64,
     item: Item<I>,
 }
 
-impl<I> PartialEq for Timed<I> {
+impl<I> PartialEq for Entry<I> {
     fn eq(&self, other: &Self) -> bool {
         self.sequence == other.sequence
     }
 }
 
-impl<I> Eq for Timed<I> {}
+impl<I> Eq for Entry<I> {}
 
-impl<I> PartialOrd for Timed<I> {
+impl<I> PartialOrd for Entry<I> {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl<I> Ord for Timed<I> {
+impl<I> Ord for Entry<I> {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         (self.at, self.sequence).cmp(&(other.at, other.sequence))
     }
 }
 
 #[derive(Debug)]
-struct Place {
+struct Host {
     router: Option<Router>,
-    /// Number of this run; events for an earlier one find nobody.
-    life: u64,
+    /// Number of this generation; events for an earlier one find nobody.
+    generation: u64,
     paused: bool,
-    held: Vec<Event>,
+    deferred: Vec<Event>,
     domain: usize,
 }
 
@@ -157,7 +157,7 @@
 #[derive(Debug)]
 pub enum Step<I> {
     /// An item of its own is due.
-    Own(I),
+    Scheduled(I),
     /// A router did this towards callers and upstreams.
     Actions(usize, Vec<Action>),
 }
@@ -170,28 +170,28 @@
     /// The key-value service.
     pub store: Store,
     /// Pairs of routers that can't reach each other.
-    pub cut: BTreeSet<(usize, usize)>,
+    pub unreachable: BTreeSet<(usize, usize)>,
     /// Connections, from one router to another, that have fallen silent; a new one works.
     pub silent: BTreeSet<(usize, usize)>,
     /// Of every so many messages between routers, one is lost; 0 for none.
-    pub lose_one_in: u64,
+    pub drop_every: u64,
     /// Bytes and messages that routers sent each other.
     pub traffic: (u64, u64),
     /// Log lines of routers.
     pub log: Vec<(Time, usize, String)>,
     between_domains: Span,
-    places: Vec<Place>,
-    queue: BinaryHeap<Reverse<Timed<I>>>,
+    hosts: Vec<Host>,
+    queue: BinaryHeap<Reverse<Entry<I>>>,
     sequence: u64,
     sent: u64,
 }
 
-/// Peer address of the router with this number.
+/// Peer address of the router with this index.
 pub fn peer_address(i: usize) -> String {
     format!("10.0.0.1:{}", 1000 + i)
 }
 
-/// Settings of the router with this number.
+/// Settings of the router with this index.
 pub fn settings(i: usize, domain: &str, incarnation: u64, seed: u64) -> Settings {
     Settings {
         name: format!("r{i}"),
@@ -211,13 +211,13 @@
         Network {
             now: Time(1_000_000),
             store: Store::default(),
-            cut: BTreeSet::new(),
+            unreachable: BTreeSet::new(),
             silent: BTreeSet::new(),
-            lose_one_in: 0,
+            drop_every: 0,
             traffic: (0, 0),
             log: Vec::new(),
             between_domains,
-            places: Vec::new(),
+            hosts: Vec::new(),
             queue: BinaryHeap::new(),
             sequence: 0,
             sent: 0,
@@ -226,135 +226,136 @@
 
     fn push(&mut self, at: Time, item: Item<I>) {
         self.sequence += 1;
-        self.queue.push(Reverse(Timed { at, sequence: self.sequence, item }));
+        self.queue.push(Reverse(Entry { at, sequence: self.sequence, item }));
     }
 
     /// Schedules an item of the owner's.
     pub fn schedule(&mut self, after: Span, item: I) {
-        self.push(self.now + after, Item::Own(item));
+        self.push(self.now + after, Item::Scheduled(item));
     }
 
     /// Schedules an event for a router.
-    pub fn event_after(&mut self, after: Span, router: usize, event: Event) {
-        let life = self.places[router].life;
-        self.push(self.now + after, Item::Event(router, life, Box::new(event)));
+    pub fn schedule_event(&mut self, after: Span, router: usize, event: Event) {
+        let generation = self.hosts[router].generation;
+        self.push(self.now + after, Item::Event(router, generation, Box::new(event)));
     }
 
-    /// Adds a router in the domain with this number and starts it; returns its number.
+    /// Adds a router in the domain with this index and starts it; returns its index.
     pub fn add(&mut self, router: Router, domain: usize) -> usize {
-        let number = self.places.len();
-        let place = Place { router: None, life: 0, paused: false, held: Vec::new(), domain };
-        self.places.push(place);
-        self.start(number, router);
-        number
+        let index = self.hosts.len();
+        let host =
+            Host { router: None, generation: 0, paused: false, deferred: Vec::new(), domain };
+        self.hosts.push(host);
+        self.start(index, router);
+        index
     }
 
-    /// Starts a router in a place that has none.
-    pub fn start(&mut self, number: usize, router: Router) {
-        let place = &mut self.places[number];
-        place.router = Some(router);
-        place.life += 1;
-        place.held.clear();
-        place.paused = false;
-        let life = place.life;
+    /// Starts a router in a host that has none.
+    pub fn start(&mut self, index: usize, router: Router) {
+        let host = &mut self.hosts[index];
+        host.router = Some(router);
+        host.generation += 1;
+        host.deferred.clear();
+        host.paused = false;
+        let generation = host.generation;
         // Ticks of different routers do not fall together.
-        let offset = Span(number as u64 * 1_000 % TICK.0);
-        self.push(self.now + offset, Item::Tick(number, life));
+        let offset = Span(index as u64 * 1_000 % TICK.0);
+        self.push(self.now + offset, Item::Tick(index, generation));
     }
 
     /// Kills a router without a word.
-    pub fn kill(&mut self, number: usize) {
-        self.places[number].router = None;
-        self.places[number].life += 1;
+    pub fn kill(&mut self, index: usize) {
+        self.hosts[index].router = None;
+        self.hosts[index].generation += 1;
     }
 
-    /// Freezes a router; what arrives meanwhile is held.
-    pub fn pause(&mut self, number: usize) {
-        self.places[number].paused = true;
+    /// Freezes a router; what arrives meanwhile is deferred.
+    pub fn pause(&mut self, index: usize) {
+        self.hosts[index].paused = true;
     }
 
-    /// Lets a frozen router go on; what was held arrives at once.
-    pub fn resume(&mut self, number: usize) {
-        self.places[number].paused = false;
-        for event in std::mem::take(&mut self.places[number].held) {
-            self.event_after(Span(0), number, event);
+    /// Lets a frozen router go on; what was deferred arrives at once.
+    pub fn resume(&mut self, index: usize) {
+        self.hosts[index].paused = false;
+        for event in std::mem::take(&mut self.hosts[index].deferred) {
+            self.schedule_event(Span(0), index, event);
         }
     }
 
     /// Cuts all routers of `side` off from the others.
     pub fn partition(&mut self, side: &[usize]) {
-        for a in 0..self.places.len() {
-            for b in 0..self.places.len() {
+        for a in 0..self.hosts.len() {
+            for b in 0..self.hosts.len() {
                 if side.contains(&a) != side.contains(&b) {
-                    self.cut.insert((a, b));
+                    self.unreachable.insert((a, b));
                 }
             }
         }
     }
 
     /// Whether a router runs.
-    pub fn is_up(&self, number: usize) -> bool {
-        self.places[number].router.is_some()
+    pub fn is_running(&self, index: usize) -> bool {
+        self.hosts[index].router.is_some()
     }
 
-    /// Number of places.
+    /// Number of hosts.
     pub fn len(&self) -> usize {
-        self.places.len()
+        self.hosts.len()
     }
 
-    /// Whether there is no place.
+    /// Whether there is no host.
     pub fn is_empty(&self) -> bool {
-        self.places.is_empty()
+        self.hosts.is_empty()
     }
 
-    /// The node of a place, if one runs there.
-    pub fn node(&self, number: usize) -> Option<&Node> {
-        match self.places[number].router.as_ref()? {
+    /// The node of a host, if one runs there.
+    pub fn node(&self, index: usize) -> Option<&Node> {
+        match self.hosts[index].router.as_ref()? {
             Router::Node(node) => Some(node),
             Router::Baseline(_) => None,
         }
     }
 
-    /// The node of a place for changes.
-    pub fn node_mut(&mut self, number: usize) -> Option<&mut Node> {
-        match self.places[number].router.as_mut()? {
+    /// The node of a host for changes.
+    pub fn node_mut(&mut self, index: usize) -> Option<&mut Node> {
+        match self.hosts[index].router.as_mut()? {
             Router::Node(node) => Some(node),
             Router::Baseline(_) => None,
         }
     }
 
     /// Gives a router an event now; returns what it does towards callers and upstreams.
-    pub fn give(&mut self, number: usize, event: Event) -> Vec<Action> {
+    pub fn handle(&mut self, index: usize, event: Event) -> Vec<Action> {
         let now = self.now;
-        let place = &mut self.places[number];
-        if place.paused {
+        let host = &mut self.hosts[index];
+        if host.paused {
             if event != Event::Tick {
-                place.held.push(event);
+                host.deferred.push(event);
             }
             return Vec::new();
         }
-        let actions = match place.router.as_mut() {
+        let actions = match host.router.as_mut() {
             None => return Vec::new(),
             Some(Router::Node(node)) => node.handle(now, event),
             Some(Router::Baseline(baseline)) => baseline.handle(event),
         };
-        actions.into_iter().filter_map(|a| self.carry(number, a)).collect()
+        actions.into_iter().filter_map(|a| self.transmit(index, a)).collect()
     }
 
     /// Carries what goes to peers and the service; the rest is the owner's.
-    fn carry(&mut self, from: usize, action: Action) -> Option<Action> {
+    fn transmit(&mut self, from: usize, action: Action) -> Option<Action> {
         match action {
             Action::Send { address, message } => {
                 self.send(from, &address, message);
                 None
             }
             Action::Kv(call) => {
-                let life = self.places[from].life;
-                self.push(self.now + KV_DELAY, Item::Kv(from, life, call));
+                let generation = self.hosts[from].generation;
+                self.push(self.now + KV_DELAY, Item::Kv(from, generation, call));
                 None
             }
             Action::Redial(address) => {
-                if let Some(to) = self.number(&address) {
+                if let Some(to) = self.router_at(&address) {
                     self.silent.remove(&(from, to));
                 }
                 None
@@ -373,8 +374,8 @@
         }
     }
 
-    fn number(&self, address: &str) -> Option<usize> {
-        (0..self.places.len()).find(|i| peer_address(*i) == address)
+    fn router_at(&self, address: &str) -> Option<usize> {
+        (0..self.hosts.len()).find(|i| peer_address(*i) == address)
     }
 
     fn send(&mut self, from: usize, address: &str, message: laburnumwheel_core::peer::Message) {
@@ -382,11 +383,11 @@
         self.traffic.0 += bytes;
         self.traffic.1 += 1;
         self.sent += 1;
-        let Some(to) = self.number(address) else {
+        let Some(to) = self.router_at(address) else {
             return;
         };
-        let lost = self.lose_one_in > 0 && self.sent.is_multiple_of(self.lose_one_in);
-        if lost || self.cut.contains(&(from, to)) || self.silent.contains(&(from, to)) {
+        let lost = self.drop_every > 0 && self.sent.is_multiple_of(self.drop_every);
+        if lost || self.unreachable.contains(&(from, to)) || self.silent.contains(&(from, to)) {
             return;
         }
         let Some(node) = self.node(from) else {
@@ -395,12 +396,12 @@
         let own = node.members().next();
         let (name, incarnation) =
             own.map_or((String::new(), 0), |r| (r.name.clone(), r.incarnation));
-        let same = self.places[from].domain == self.places[to].domain;
+        let same = self.hosts[from].domain == self.hosts[to].domain;
         let delay = if same { Span(100) } else { self.between_domains };
         // A message on the wire reaches whatever runs at the address when it arrives.
-        let life = self.places[to].life;
+        let generation = self.hosts[to].generation;
         let event = Event::Peer { from: name, incarnation, message };
-        self.push(self.now + delay, Item::Event(to, life, Box::new(event)));
+        self.push(self.now + delay, Item::Event(to, generation, Box::new(event)));
     }
 
     /// Goes on to the next thing the owner has to see to, at most until `until`.
@@ -410,36 +411,36 @@
                 self.now = until;
                 return None;
             }
-            let Reverse(timed) = self.queue.pop()?;
-            self.now = timed.at;
-            let (number, actions) = match timed.item {
-                Item::Own(item) => return Some(Step::Own(item)),
-                Item::Tick(number, life) => {
-                    if self.places[number].life != life {
+            let Reverse(entry) = self.queue.pop()?;
+            self.now = entry.at;
+            let (index, actions) = match entry.item {
+                Item::Scheduled(item) => return Some(Step::Scheduled(item)),
+                Item::Tick(index, generation) => {
+                    if self.hosts[index].generation != generation {
                         continue;
                     }
-                    let actions = self.give(number, Event::Tick);
-                    if self.places[number].life == life {
-                        self.push(self.now + TICK, Item::Tick(number, life));
+                    let actions = self.handle(index, Event::Tick);
+                    if self.hosts[index].generation == generation {
+                        self.push(self.now + TICK, Item::Tick(index, generation));
                     }
-                    (number, actions)
+                    (index, actions)
                 }
-                Item::Event(number, life, event) => {
-                    if self.places[number].life != life {
+                Item::Event(index, generation, event) => {
+                    if self.hosts[index].generation != generation {
                         continue;
                     }
-                    (number, self.give(number, *event))
+                    (index, self.handle(index, *event))
                 }
-                Item::Kv(number, life, call) => {
+                Item::Kv(index, generation, call) => {
                     let reply = self.store.call(&call);
-                    if self.places[number].life == life {
-                        self.event_after(KV_DELAY, number, Event::Kv(call, reply));
+                    if self.hosts[index].generation == generation {
+                        self.schedule_event(KV_DELAY, index, Event::Kv(call, reply));
                     }
                     continue;
                 }
             };
             if !actions.is_empty() {
-                return Some(Step::Actions(number, actions));
+                return Some(Step::Actions(index, actions));
             }
         }
     }
--- a/replay/src/simulation.rs
+++ b/replay/src/simulation.rs
@@ -217,7 +217,7 @@
     let end = simulation.began + Span::millis(length) + COOL_DOWN;
     while let Some(step) = simulation.network.next(end) {
         match step {
-            Step::Own(item) => simulation.item(item),
+            Step::Scheduled(item) => simulation.item(item),
             Step::Actions(router, actions) => simulation.perform(router, actions),
         }
     }
@@ -317,8 +317,8 @@
         }
     }
 
-    fn give(&mut self, router: usize, event: Event) {
-        let actions = self.network.give(router, event);
+    fn handle(&mut self, router: usize, event: Event) {
+        let actions = self.network.handle(router, event);
         self.perform(router, actions);
     }
 
--- a/replay/src/simulation/callers.rs
+++ b/replay/src/simulation/callers.rs
@@ -25,12 +25,13 @@
         let caller = record % self.site.callers[org];
         let kept = self.kept.get(&(org, caller));
         let kept = kept.filter(|k| k.until > self.network.now);
-        let kept =
-            kept.and_then(|k| k.addresses.iter().find(|(r, _)| self.network.is_up(*r)).cloned());
+        let kept = kept
+            .and_then(|k| k.addresses.iter().find(|(r, _)| self.network.is_running(*r)).cloned());
         if kept.is_some() {
             return kept;
         }
-        let up: Vec<usize> = (0..self.network.len()).filter(|r| self.network.is_up(*r)).collect();
+        let up: Vec<usize> =
+            (0..self.network.len()).filter(|r| self.network.is_running(*r)).collect();
         let any = *up.get(self.rng.random_range(0..up.len().max(1)))?;
         let domain = self.site.domain(caller).to_owned();
         let now = self.network.now;
@@ -43,7 +44,7 @@
         let addresses = addresses.filter_map(|a| Some((number(&a.address)?, a.key_prefix.clone())));
         let addresses: Vec<_> = addresses.collect();
         let until = now + Span::millis(answer.ttl_ms);
-        let first = addresses.iter().find(|(r, _)| self.network.is_up(*r)).cloned();
+        let first = addresses.iter().find(|(r, _)| self.network.is_running(*r)).cloned();
         self.kept.insert((org, caller), Kept { addresses, until });
         first
     }
@@ -97,7 +98,7 @@
         };
         let event = Event::Request(request, Box::new(submission));
         let delay = Span(self.site.to_callers_us);
-        self.network.event_after(delay, router, event);
+        self.network.schedule_event(delay, router, event);
         if sends == 1 {
             let patience = Span::millis(class.patience_ms) + CALLER_EXTRA;
             self.network.schedule(patience, Item::Impatient(record));
@@ -165,7 +166,11 @@
         }
         call.end = Some((End::GaveUp, now));
         let (router, request) = (call.router, call.request);
-        self.network.event_after(Span(self.site.to_callers_us), router, Event::CallerGone(request));
+        self.network.schedule_event(
+            Span(self.site.to_callers_us),
+            router,
+            Event::CallerGone(request),
+        );
     }
 
     /// Callers of a router that is gone see their connections break. They try another address
--- a/replay/src/simulation/faults.rs
+++ b/replay/src/simulation/faults.rs
@@ -51,7 +51,7 @@
                 }
                 self.break_callers(router);
             }
-            Fault::StopRouter { router } => self.give(router, Event::Stop),
+            Fault::StopRouter { router } => self.handle(router, Event::Stop),
             Fault::Outage(length) => {
                 self.network.store.mode = network::Mode::Down;
                 self.network.schedule(length, Item::Restored);
--- a/replay/src/simulation/upstreams.rs
+++ b/replay/src/simulation/upstreams.rs
@@ -26,7 +26,7 @@
     pub(super) fn fail(&mut self, upstream: usize, id: AttemptKey, failure: Failure) {
         self.open.remove(&id);
         let delay = self.delay(id.0, upstream);
-        self.network.event_after(delay, id.0, Event::Failed(id.1, failure));
+        self.network.schedule_event(delay, id.0, Event::Failed(id.1, failure));
     }
 
     pub(super) fn arrive(&mut self, router: usize, upstream: usize, dispatch: Dispatch) {
@@ -43,7 +43,11 @@
             Upstream::Service(s) => (s.crashed, s.leaving),
         };
         if crashed {
-            self.network.event_after(CONNECT_ERROR, router, Event::Failed(id.1, Failure::Connect));
+            self.network.schedule_event(
+                CONNECT_ERROR,
+                router,
+                Event::Failed(id.1, Failure::Connect),
+            );
             return;
         }
         if leaving {
@@ -123,7 +127,7 @@
                 Event::Ended { attempt, echo: attempt, status: 200 }
             }
         };
-        self.network.event_after(delay, router, event);
+        self.network.schedule_event(delay, router, event);
     }
 
     pub(super) fn served(&mut self, upstream: usize, id: AttemptKey, _record: usize) {
@@ -138,7 +142,7 @@
             let delay = self.delay(id.0, upstream);
             let (router, attempt) = id;
             let event = Event::Ended { attempt, echo: attempt, status: 200 };
-            self.network.event_after(delay, router, event);
+            self.network.schedule_event(delay, router, event);
         }
     }
 
@@ -170,7 +174,7 @@
             let lost = self.rng.random_range(0..CACHE_LOSS) == 0;
             for router in 0..self.network.len() {
                 let load = Load { age: lag.0, ..load };
-                self.network.event_after(lag, router, Event::Load(self.names[i].clone(), load));
+                self.network.schedule_event(lag, router, Event::Load(self.names[i].clone(), load));
                 if lost {
                     continue;
                 }
@@ -180,7 +184,7 @@
                     added: added.clone(),
                     evicted: Vec::new(),
                 };
-                self.network.event_after(lag, router, cache);
+                self.network.schedule_event(lag, router, cache);
             }
         }
     }
--- a/replay/tests/keys.rs
+++ b/replay/tests/keys.rs
@@ -56,13 +56,13 @@
 fn a_lost_answer_is_unknown_and_stays_so() {
     // Arrange
     let mut cluster = Cluster::start(3, 3);
-    cluster.break_one_in = 1;
+    cluster.break_every = 1;
     let key = format!("{}bid-1", cluster.prefix(0));
 
     // Act
     let first = cluster.submit(0, &key, "bid 1");
     cluster.run(Span::secs(1));
-    cluster.break_one_in = 0;
+    cluster.break_every = 0;
     let again = cluster.submit(1, &key, "bid 1");
     cluster.run(Span::secs(1));
 
@@ -129,13 +129,13 @@
     // Arrange
     let mut cluster = Cluster::start(9, 6);
     cluster.network.store.mode = Mode::Down;
-    cluster.network.lose_one_in = 7;
+    cluster.network.drop_every = 7;
     let key = format!("{}bid-1", cluster.prefix(0));
     cluster.submit(0, &key, "bid 1");
     cluster.run(Span::secs(1));
 
     // Act
-    cluster.give(0, Event::Stop);
+    cluster.handle(0, Event::Stop);
     cluster.run(Span::secs(30));
     let retries: Vec<_> = (1..9).map(|i| (i, cluster.submit(i, &key, "bid 1"))).collect();
     let fresh = format!("{}bid-2", key.split_once('~').expect("a prefix").0.to_owned() + "~");
@@ -160,7 +160,7 @@
         // Arrange
         let mut cluster = Cluster::start(3, 8);
         let prefix = cluster.prefix(0);
-        cluster.give(0, Event::Stop);
+        cluster.handle(0, Event::Stop);
         cluster.run(Span::millis(11_850 + 2 * offset));
 
         // Act
@@ -243,12 +243,12 @@
     fn nothing_ever_runs_twice(
         history in proptest::collection::vec(moves(), 1..60),
         lose in prop_oneof![Just(0u64), Just(4)],
-        break_one_in in prop_oneof![Just(0u32), Just(3)],
+        break_every in prop_oneof![Just(0u32), Just(3)],
         seed in 0..1_000u64,
     ) {
         let mut cluster = Cluster::start(4, seed);
-        cluster.network.lose_one_in = lose;
-        cluster.break_one_in = break_one_in;
+        cluster.network.drop_every = lose;
+        cluster.break_every = break_every;
         let prefixes: Vec<String> = (0..4).map(|i| cluster.prefix(i)).collect();
         let mut sent = Vec::new();
         for step in history {
@@ -260,18 +260,18 @@
                     sent.push((router, id, body));
                 }
                 Move::Kill(router) => cluster.network.kill(router),
-                Move::Restart(router) if !cluster.network.is_up(router) => cluster.restart(router),
+                Move::Restart(router) if !cluster.network.is_running(router) => cluster.restart(router),
                 Move::Restart(_) => {}
                 Move::Pause(router) => cluster.network.pause(router),
                 Move::Resume(router) => cluster.network.resume(router),
-                Move::Stop(router) => cluster.give(router, Event::Stop),
+                Move::Stop(router) => cluster.handle(router, Event::Stop),
                 Move::Cut(router) => cluster.network.partition(&[router]),
-                Move::Heal => cluster.network.cut.clear(),
+                Move::Heal => cluster.network.unreachable.clear(),
                 Move::Wait(ms) => cluster.run(Span::millis(ms)),
             }
         }
         (0..4).for_each(|router| cluster.network.resume(router));
-        cluster.network.cut.clear();
+        cluster.network.unreachable.clear();
         cluster.run(Span::secs(120));
 
         for (body, runs) in &cluster.runs {
--- a/replay/tests/leaving.rs
+++ b/replay/tests/leaving.rs
@@ -46,7 +46,7 @@
     let attempt = laburnumwheel_core::event::AttemptId(1);
 
     // Act
-    cluster.give(4, Event::Failed(attempt, laburnumwheel_core::event::Failure::Leaving));
+    cluster.handle(4, Event::Failed(attempt, laburnumwheel_core::event::Failure::Leaving));
     let took =
         cluster.run_until(WITHIN, |c| ["s1", "s2"].iter().any(|name| !open_anywhere(c, name)));
 
--- a/replay/tests/members.rs
+++ b/replay/tests/members.rs
@@ -101,7 +101,7 @@
     // Act
     cluster.run(Span::secs(3_600));
     let apart = (cluster.serving_seen_by(0), cluster.serving_seen_by(8));
-    cluster.network.cut.clear();
+    cluster.network.unreachable.clear();
     cluster.run(Span::secs(30));
 
     // Assert
@@ -117,7 +117,7 @@
 fn lost_messages_condemn_nobody_for_long() {
     // Arrange
     let mut cluster = Cluster::start(9, 6);
-    cluster.network.lose_one_in = 5;
+    cluster.network.drop_every = 5;
 
     // Act
     let mut seen = Vec::new();
@@ -161,11 +161,11 @@
     let mut cluster = Cluster::start(9, 7);
 
     // Act
-    cluster.give(3, Event::Stop);
+    cluster.handle(3, Event::Stop);
     let took = cluster.run_until(Span::secs(3), |c| (0..9).all(|i| !c.names(i, 3)));
     let up_after_ttl = {
         cluster.run(Span::secs(8));
-        cluster.network.is_up(3)
+        cluster.network.is_running(3)
     };
     cluster.run(Span::secs(15));
 
@@ -173,7 +173,7 @@
     assert!(took.is_some());
     assert!(up_after_ttl);
     assert_eq!(cluster.exited, vec![3]);
-    assert!(!cluster.network.is_up(3));
+    assert!(!cluster.network.is_running(3));
 }
 
 /// What nine idle routers cost: bytes between them and calls to the key-value service.
--- a/replay/tests/rolling.rs
+++ b/replay/tests/rolling.rs
@@ -22,7 +22,8 @@
 
 fn entry(cluster: &mut Cluster, number: usize) -> Caller {
     let now = cluster.network.now;
-    let asked = (0..ROUTERS).map(|i| (i + number) % ROUTERS).find(|i| cluster.network.is_up(*i));
+    let asked =
+        (0..ROUTERS).map(|i| (i + number) % ROUTERS).find(|i| cluster.network.is_running(*i));
     let node = cluster.network.node_mut(asked.expect("a router")).expect("it runs");
     let answer = node.entry(now, None, None).expect("an answer");
     let first = &answer.addresses[0];
@@ -42,9 +43,9 @@
 
     // Act
     for stopping in 0..ROUTERS {
-        cluster.give(stopping, Event::Stop);
+        cluster.handle(stopping, Event::Stop);
         let mut rounds = 0;
-        while cluster.network.is_up(stopping) {
+        while cluster.network.is_running(stopping) {
             rounds += 1;
             assert!(rounds < 600, "router {stopping} does not exit");
             for (n, caller) in callers.iter_mut().enumerate() {
--- a/replay/tests/support/mod.rs
+++ b/replay/tests/support/mod.rs
@@ -63,7 +63,7 @@
     /// Routers that have exited by plan.
     pub exited: Vec<usize>,
     /// Calls whose connection breaks after they ran: every so many, 0 for none.
-    pub break_one_in: u32,
+    pub break_every: u32,
     /// Engines by name.
     pub engines: BTreeMap<String, Engine>,
     /// Time that orders of a router are on their way.
@@ -111,7 +111,7 @@
             runs: BTreeMap::new(),
             ends: BTreeMap::new(),
             exited: Vec::new(),
-            break_one_in: 0,
+            break_every: 0,
             engines: BTreeMap::new(),
             order_delay: BTreeMap::new(),
             orders: Vec::new(),
@@ -144,9 +144,9 @@
         let until = self.network.now + span;
         while let Some(step) = self.network.next(until) {
             match step {
-                Step::Own(Item::Arrive(router, d)) => self.arrive(router, d),
-                Step::Own(Item::Answer(router, d)) => self.answer(router, &d),
-                Step::Own(Item::Order(router, order)) => self.order(router, order),
+                Step::Scheduled(Item::Arrive(router, d)) => self.arrive(router, d),
+                Step::Scheduled(Item::Answer(router, d)) => self.answer(router, &d),
+                Step::Scheduled(Item::Order(router, order)) => self.order(router, order),
                 Step::Actions(router, actions) => self.perform(router, actions),
             }
         }
@@ -182,14 +182,14 @@
             engine.deployment = order.deployment;
         }
         let result = if fenced { OrderResult::Fenced } else { OrderResult::Done };
-        self.give(router, Event::Ordered(order.upstream, result));
+        self.handle(router, Event::Ordered(order.upstream, result));
     }
 
     /// All routers hear what the engines have.
     pub fn tell_deployed(&mut self) {
         for (name, engine) in self.engines.clone() {
             for router in 0..self.network.len() {
-                self.give(router, Event::Deployed(name.clone(), engine.deployment.clone()));
+                self.handle(router, Event::Deployed(name.clone(), engine.deployment.clone()));
             }
         }
     }
@@ -197,17 +197,17 @@
     fn answer(&mut self, router: usize, d: &Dispatch) {
         self.calls += 1;
         let attempt = d.attempt;
-        let broken = self.break_one_in > 0 && self.calls.is_multiple_of(self.break_one_in);
+        let broken = self.break_every > 0 && self.calls.is_multiple_of(self.break_every);
         let event = if broken {
             Event::Failed(attempt, Failure::Broken)
         } else {
             let text = d.body.clone();
             let frame = Event::Frame { attempt, echo: attempt, offset: 0, tokens: 0, text };
-            let actions = self.network.give(router, frame);
+            let actions = self.network.handle(router, frame);
             self.perform(router, actions);
             Event::Ended { attempt, echo: attempt, status: 200 }
         };
-        let actions = self.network.give(router, event);
+        let actions = self.network.handle(router, event);
         self.perform(router, actions);
     }
 
@@ -257,14 +257,14 @@
             idempotent: false,
             idempotency_key: (!key.is_empty()).then(|| key.to_owned()),
         };
-        let actions = self.network.give(router, Event::Request(id, Box::new(submission)));
+        let actions = self.network.handle(router, Event::Request(id, Box::new(submission)));
         self.perform(router, actions);
         id
     }
 
     /// Sends an event to a router.
-    pub fn give(&mut self, router: usize, event: Event) {
-        let actions = self.network.give(router, event);
+    pub fn handle(&mut self, router: usize, event: Event) {
+        let actions = self.network.handle(router, event);
         self.perform(router, actions);
     }
 
--- a/replay/tests/versions.rs
+++ b/replay/tests/versions.rs
@@ -78,7 +78,7 @@
     cluster.network.resume(8);
     cluster.network.kill(0);
     cluster.run(Span::secs(10));
-    cluster.network.cut.clear();
+    cluster.network.unreachable.clear();
 
     // Act
     let mut settings = laburnumwheel_replay::network::settings(0, "a", 2, 3);
@@ -106,14 +106,14 @@
     let mut cluster = Cluster::start(9, 4);
     let mut highest = [0; 9];
     cluster.network.partition(&[0, 1, 2]);
-    cluster.network.lose_one_in = 6;
+    cluster.network.drop_every = 6;
 
     // Act
     let mut went_back = false;
     for version in 2..=10 {
         cluster.network.store.publish(version, &support::config(version as usize));
         if version == 6 {
-            cluster.network.cut.clear();
+            cluster.network.unreachable.clear();
         }
         for _ in 0..80 {
             cluster.run(Span::millis(100));
