--- a/replay/src/caller.rs
+++ b/replay/src/caller.rs
@@ -53,7 +53,7 @@
     /// Its end and when.
     pub end: Option<(End, Time)>,
     /// How often it was sent.
-    pub sends: u32,
+    pub submissions: u32,
     /// Idempotency key.
     pub key: Option<String>,
 }
@@ -92,7 +92,7 @@
     /// Tokens in whole answers.
     pub tokens: u64,
     /// Longest time to a first token, in microseconds.
-    pub longest_wait: u64,
+    pub max_first_token: u64,
     /// Requests served by window of the burst.
     pub windows: Vec<u64>,
     /// Microseconds to the first token of whole answers.
@@ -132,7 +132,7 @@
         };
         *tally.ends.entry(end).or_default() += 1;
         if let Some(first) = call.first {
-            tally.longest_wait = tally.longest_wait.max(first.since(call.sent).0);
+            tally.max_first_token = tally.max_first_token.max(first.since(call.sent).0);
             let into = first.since(began + Span::millis(from)).as_millis();
             if first >= began + Span::millis(from)
                 && let Some(n) = tally.windows.get_mut((into / site.outcomes.window_ms) as usize)
--- a/replay/src/fake.rs
+++ b/replay/src/fake.rs
@@ -68,7 +68,7 @@
     waiting: BTreeMap<(u8, u64), (AttemptKey, Job)>,
     arrivals: u64,
     cache: Vec<u64>,
-    gained: Vec<u64>,
+    added_prefixes: Vec<u64>,
 }
 
 impl Engine {
@@ -85,12 +85,12 @@
             waiting: BTreeMap::new(),
             arrivals: 0,
             cache: Vec::new(),
-            gained: Vec::new(),
+            added_prefixes: Vec::new(),
         }
     }
 
     /// Whether a step would do anything.
-    pub fn busy(&self) -> bool {
+    pub fn has_work(&self) -> bool {
         !self.running.is_empty() || !self.waiting.is_empty()
     }
 
@@ -119,7 +119,7 @@
         self.cache.retain(|p| *p != job.prefix);
         self.cache.push(job.prefix);
         if !cached {
-            self.gained.push(job.prefix);
+            self.added_prefixes.push(job.prefix);
         }
         if self.cache.len() > CACHED_PREFIXES {
             self.cache.remove(0);
@@ -166,9 +166,9 @@
         Load { age: 0, running, waiting, slots: self.slots }
     }
 
-    /// Prefixes that the cache gained since the last call.
-    pub fn take_gained(&mut self) -> Vec<u64> {
-        std::mem::take(&mut self.gained)
+    /// Prefixes that the cache added since the last call.
+    pub fn take_added_prefixes(&mut self) -> Vec<u64> {
+        std::mem::take(&mut self.added_prefixes)
     }
 }
 
--- a/replay/src/generate.rs
+++ b/replay/src/generate.rs
@@ -59,7 +59,7 @@
             records.push(record(site, class_traffic, at as u64, &mut rng));
         }
     }
-    records.sort_by_key(|r| (r.at_ms, r.class, r.org, r.prefix));
+    records.sort_by_key(|r| (r.at_ms, r.class, r.organisation, r.prefix));
     records
 }
 
@@ -69,9 +69,10 @@
 }
 
 fn record(site: &Site, traffic: &Traffic, at_ms: u64, rng: &mut StdRng) -> Record {
-    let orgs = site.callers.len();
+    let organisations = site.callers.len();
     let large = rng.random_bool(LARGE);
-    let org = if large { rng.random_range(0..3) } else { rng.random_range(3..orgs) };
+    let organisation =
+        if large { rng.random_range(0..3) } else { rng.random_range(3..organisations) };
     let prefix = Zipf::new(PREFIXES, SKEW).map_or(1.0, |d| d.sample(rng)) as u64;
     let output = if traffic.output > 0.0 {
         log_normal(traffic.output, rng).clamp(1.0, MAX_OUTPUT) as u32
@@ -79,7 +80,7 @@
         0
     };
     let prompt = log_normal(traffic.prompt, rng).clamp(8.0, MAX_OUTPUT) as u32;
-    Record { at_ms, org, class: traffic.class, prompt, prefix, output }
+    Record { at_ms, organisation, class: traffic.class, prompt, prefix, output }
 }
 
 /// The auction house: an auction closes for a minute.
--- a/replay/src/report.rs
+++ b/replay/src/report.rs
@@ -29,7 +29,7 @@
             count(End::Whole),
             format!("{:.2}%", tally.attainment()),
             format!("{:.0}", quantile(&tally.first_token, 0.95) as f64 / 1000.0),
-            format!("{:.0}", tally.longest_wait as f64 / 1000.0),
+            format!("{:.0}", tally.max_first_token as f64 / 1000.0),
             count(End::NotRun),
             count(End::Unknown),
             count(End::Incomplete),
--- a/replay/src/simulation.rs
+++ b/replay/src/simulation.rs
@@ -101,29 +101,29 @@
 #[derive(Debug)]
 pub enum Item {
     /// The caller of a record sends it.
-    Send(usize),
+    Submit(usize),
     /// A try arrives at an upstream.
     Arrive(usize, usize, Box<Dispatch>),
     /// A stop of a try arrives at an upstream.
-    Stop(usize, AttemptKey),
+    Cancel(usize, AttemptKey),
     /// An engine's step is over.
     Step(usize),
     /// A call at a service is over.
-    Served(usize, AttemptKey, usize),
+    Complete(usize, AttemptKey, usize),
     /// Part of an answer reaches its caller.
-    Part(usize, RequestId, Bytes),
+    Deliver(usize, RequestId, Bytes),
     /// The end reaches its caller.
-    End(usize, RequestId, Outcome),
+    Finish(usize, RequestId, Outcome),
     /// A caller's patience is over.
-    Impatient(usize),
+    TimeOut(usize),
     /// Load reports are taken.
     Report,
     /// A fault happens.
     Fault(usize),
     /// The host list names an upstream as leaving.
-    Listed(usize),
+    ListLeaving(usize),
     /// An outage of the key-value service ends.
-    Restored,
+    EndOutage,
 }
 
 #[derive(Debug)]
@@ -133,7 +133,7 @@
 }
 
 #[derive(Debug)]
-struct Kept {
+struct CachedAnswer {
     /// Routers in order, with the key prefix of each.
     addresses: Vec<(usize, String)>,
     until: Time,
@@ -179,20 +179,20 @@
     trace: &'a [Record],
     policy: Policy,
     network: Network<Item>,
-    began: Time,
+    trace_start: Time,
     upstreams: Vec<Upstream>,
-    domains: Vec<usize>,
-    by_address: BTreeMap<String, usize>,
-    names: Vec<String>,
+    upstream_domains: Vec<usize>,
+    upstreams_by_address: BTreeMap<String, usize>,
+    upstream_names: Vec<String>,
     calls: Vec<Option<Call>>,
-    by_request: BTreeMap<(usize, RequestId), usize>,
+    records_by_request: BTreeMap<(usize, RequestId), usize>,
     next_request: u64,
-    ran: BTreeMap<usize, u64>,
-    kept: BTreeMap<(usize, usize), Kept>,
+    executions: BTreeMap<usize, u64>,
+    entry_answers: BTreeMap<(usize, usize), CachedAnswer>,
     faults: Vec<Fault>,
-    silent: BTreeSet<AttemptKey>,
-    open: BTreeMap<AttemptKey, usize>,
-    frozen: Option<(Time, Vec<Load>)>,
+    silent_attempts: BTreeSet<AttemptKey>,
+    open_attempts: BTreeMap<AttemptKey, usize>,
+    frozen_reports: Option<(Time, Vec<Load>)>,
     cache_sequence: Vec<u64>,
     broken: Broken,
     rng: StdRng,
@@ -214,10 +214,10 @@
     let mut simulation = Simulation::new(site, trace, policy, &config, seed);
     simulation.schedule(faults);
     let length = trace.last().map_or(0, |r| r.at_ms);
-    let end = simulation.began + Span::millis(length) + COOL_DOWN;
+    let end = simulation.trace_start + Span::millis(length) + COOL_DOWN;
     while let Some(step) = simulation.network.next(end) {
         match step {
-            Step::Scheduled(item) => simulation.item(item),
+            Step::Scheduled(item) => simulation.process(item),
             Step::Actions(router, actions) => simulation.perform(router, actions),
         }
     }
@@ -256,30 +256,31 @@
             }
         }
         let by_name = |name: &String| names.iter().position(|n| n == name);
-        let by_address = config.upstreams.iter();
-        let by_address = by_address.filter_map(|u| Some((u.address.clone(), by_name(&u.name)?)));
-        let by_address = by_address.collect();
-        let began = network.now + WARM_UP;
+        let upstreams_by_address = config.upstreams.iter();
+        let upstreams_by_address =
+            upstreams_by_address.filter_map(|u| Some((u.address.clone(), by_name(&u.name)?)));
+        let upstreams_by_address = upstreams_by_address.collect();
+        let trace_start = network.now + WARM_UP;
         Simulation {
             site,
             trace,
             policy,
             network,
-            began,
+            trace_start,
             cache_sequence: vec![0; upstreams.len()],
             upstreams,
-            domains,
-            by_address,
-            names,
+            upstream_domains: domains,
+            upstreams_by_address,
+            upstream_names: names,
             calls: vec![None; trace.len()],
-            by_request: BTreeMap::new(),
+            records_by_request: BTreeMap::new(),
             next_request: 1,
-            ran: BTreeMap::new(),
-            kept: BTreeMap::new(),
+            executions: BTreeMap::new(),
+            entry_answers: BTreeMap::new(),
             faults: Vec::new(),
-            silent: BTreeSet::new(),
-            open: BTreeMap::new(),
-            frozen: None,
+            silent_attempts: BTreeSet::new(),
+            open_attempts: BTreeMap::new(),
+            frozen_reports: None,
             broken: Broken::default(),
             rng: StdRng::seed_from_u64(seed),
         }
@@ -287,7 +288,7 @@
 
     fn schedule(&mut self, faults: &[(u64, Fault)]) {
         for (i, record) in self.trace.iter().enumerate() {
-            self.network.schedule(WARM_UP + Span::millis(record.at_ms), Item::Send(i));
+            self.network.schedule(WARM_UP + Span::millis(record.at_ms), Item::Submit(i));
         }
         for (at_ms, fault) in faults {
             let number = self.faults.len();
@@ -297,23 +298,24 @@
         self.network.schedule(REPORT_EVERY, Item::Report);
     }
 
-    fn item(&mut self, item: Item) {
+    fn process(&mut self, item: Item) {
         match item {
-            Item::Send(record) => self.send(record),
+            Item::Submit(record) => self.submit(record),
             Item::Arrive(router, upstream, dispatch) => self.arrive(router, upstream, *dispatch),
-            Item::Stop(upstream, id) => self.cancel_attempt(upstream, id),
+            Item::Cancel(upstream, id) => self.cancel_attempt(upstream, id),
             Item::Step(upstream) => self.step(upstream),
-            Item::Served(upstream, id, record) => self.served(upstream, id, record),
-            Item::Part(router, request, text) => self.part(router, request, &text),
-            Item::End(router, request, outcome) => self.end(router, request, &outcome),
-            Item::Impatient(record) => self.impatient(record),
+            Item::Complete(upstream, id, record) => self.complete(upstream, id, record),
+            Item::Deliver(router, request, text) => self.receive_tokens(router, request, &text),
+            Item::Finish(router, request, outcome) => self.receive_end(router, request, &outcome),
+            Item::TimeOut(record) => self.time_out(record),
             Item::Report => self.report(),
-            Item::Fault(number) => self.fault(self.faults[number]),
-            Item::Listed(upstream) => {
-                let list = serde_json::to_vec(&[&self.names[upstream]]).unwrap_or_default();
+            Item::Fault(number) => self.inject(self.faults[number]),
+            Item::ListLeaving(upstream) => {
+                let list =
+                    serde_json::to_vec(&[&self.upstream_names[upstream]]).unwrap_or_default();
                 self.network.store.put(LEAVING_HOSTS_KEY, Bytes::from(list));
             }
-            Item::Restored => self.network.store.mode = network::Mode::Up,
+            Item::EndOutage => self.network.store.mode = network::Mode::Up,
         }
     }
 
@@ -326,46 +328,47 @@
         for action in actions {
             match action {
                 Action::Dispatch(dispatch) => {
-                    let Some(upstream) = self.by_address.get(&dispatch.address).copied() else {
+                    let Some(upstream) = self.upstreams_by_address.get(&dispatch.address).copied()
+                    else {
                         continue;
                     };
                     let id = (router, dispatch.attempt);
-                    self.open.insert(id, upstream);
+                    self.open_attempts.insert(id, upstream);
                     let delay = self.delay(router, upstream);
                     self.network.schedule(delay, Item::Arrive(router, upstream, dispatch));
                 }
                 Action::Cancel(attempt) => {
                     let id = (router, attempt);
-                    if let Some(upstream) = self.open.remove(&id)
-                        && !self.silent.contains(&id)
+                    if let Some(upstream) = self.open_attempts.remove(&id)
+                        && !self.silent_attempts.contains(&id)
                     {
                         let delay = self.delay(router, upstream);
-                        self.network.schedule(delay, Item::Stop(upstream, id));
+                        self.network.schedule(delay, Item::Cancel(upstream, id));
                     }
                 }
                 Action::Deliver { request, text, .. } => {
                     let delay = Span(self.site.to_callers_us);
-                    self.network.schedule(delay, Item::Part(router, request, text));
+                    self.network.schedule(delay, Item::Deliver(router, request, text));
                 }
                 Action::Finish(request, outcome) => {
                     let delay = Span(self.site.to_callers_us);
-                    self.network.schedule(delay, Item::End(router, request, outcome));
+                    self.network.schedule(delay, Item::Finish(router, request, outcome));
                 }
-                Action::Exit => self.break_callers(router),
+                Action::Exit => self.break_connections(router),
                 _ => {}
             }
         }
     }
 
     fn delay(&self, router: usize, upstream: usize) -> Span {
-        let same = router % self.site.domains.len() == self.domains[upstream];
+        let same = router % self.site.domains.len() == self.upstream_domains[upstream];
         if same { Span(100) } else { Span(self.site.between_domains_us) }
     }
 
     fn results(self, length_ms: u64) -> Results {
-        let began = self.began;
+        let trace_start = self.trace_start;
         let mut broken = self.broken;
-        let tallies = caller::tally(self.site, self.trace, &self.calls, began, &mut broken);
+        let tallies = caller::tally(self.site, self.trace, &self.calls, trace_start, &mut broken);
         let generated = self.upstreams.iter().map(|u| match u {
             Upstream::Engine(e) => e.generated,
             Upstream::Service(_) => 0,
--- a/replay/src/simulation/callers.rs
+++ b/replay/src/simulation/callers.rs
@@ -9,8 +9,8 @@
 use laburnumwheel_core::time::Span;
 use rand::Rng;
 
+use super::CachedAnswer;
 use super::Item;
-use super::Kept;
 use super::Simulation;
 use crate::caller::Call;
 use crate::caller::End;
@@ -20,10 +20,10 @@
 
 impl Simulation<'_> {
     /// The routers a caller may use, by an entry answer that it keeps for its time to live.
-    pub(super) fn entry(&mut self, record: usize) -> Option<(usize, String)> {
-        let org = self.trace[record].org;
-        let caller = record % self.site.callers[org];
-        let kept = self.kept.get(&(org, caller));
+    pub(super) fn router_for(&mut self, record: usize) -> Option<(usize, String)> {
+        let organisation = self.trace[record].organisation;
+        let caller = record % self.site.callers[organisation];
+        let kept = self.entry_answers.get(&(organisation, caller));
         let kept = kept.filter(|k| k.until > self.network.now);
         let kept = kept
             .and_then(|k| k.addresses.iter().find(|(r, _)| self.network.is_running(*r)).cloned());
@@ -45,13 +45,13 @@
         let addresses: Vec<_> = addresses.collect();
         let until = now + Span::millis(answer.ttl_ms);
         let first = addresses.iter().find(|(r, _)| self.network.is_running(*r)).cloned();
-        self.kept.insert((org, caller), Kept { addresses, until });
+        self.entry_answers.insert((organisation, caller), CachedAnswer { addresses, until });
         first
     }
 
-    pub(super) fn send(&mut self, record: usize) {
-        let Some((router, prefix)) = self.entry(record) else {
-            self.network.schedule(Span::millis(100), Item::Send(record));
+    pub(super) fn submit(&mut self, record: usize) {
+        let Some((router, prefix)) = self.router_for(record) else {
+            self.network.schedule(Span::millis(100), Item::Submit(record));
             return;
         };
         let r = self.trace[record];
@@ -62,7 +62,7 @@
         let request = RequestId(self.next_request);
         self.next_request += 1;
         let sent = old.as_ref().map_or(self.network.now, |c| c.sent);
-        let sends = old.map_or(1, |c| c.sends + 1);
+        let submissions = old.map_or(1, |c| c.submissions + 1);
         let call = Call {
             router,
             request,
@@ -70,11 +70,11 @@
             first: None,
             tokens: 0,
             end: None,
-            sends,
+            submissions,
             key: key.clone(),
         };
         self.calls[record] = Some(call);
-        self.by_request.insert((router, request), record);
+        self.records_by_request.insert((router, request), record);
         let group = self.site.group.iter().find(|g| g.name == class.group);
         let target = match group.and_then(|g| g.model.clone()) {
             Some(model) => Target::Model(model),
@@ -85,7 +85,7 @@
             },
         };
         let submission = Submission {
-            key: self.site.key(r.org),
+            key: self.site.bearer_key(r.organisation),
             class: Some(class.name.clone()),
             target,
             body: Bytes::copy_from_slice(&(record as u64).to_le_bytes()),
@@ -99,26 +99,26 @@
         let event = Event::Request(request, Box::new(submission));
         let delay = Span(self.site.to_callers_us);
         self.network.schedule_event(delay, router, event);
-        if sends == 1 {
+        if submissions == 1 {
             let patience = Span::millis(class.patience_ms) + CALLER_EXTRA;
-            self.network.schedule(patience, Item::Impatient(record));
+            self.network.schedule(patience, Item::TimeOut(record));
         }
     }
 
-    pub(super) fn call_of(
+    pub(super) fn open_call(
         &mut self,
         router: usize,
         request: RequestId,
     ) -> Option<(usize, &mut Call)> {
-        let record = *self.by_request.get(&(router, request))?;
+        let record = *self.records_by_request.get(&(router, request))?;
         let call = self.calls[record].as_mut()?;
         let current = call.router == router && call.request == request && call.end.is_none();
         current.then_some((record, call))
     }
 
-    pub(super) fn part(&mut self, router: usize, request: RequestId, text: &Bytes) {
+    pub(super) fn receive_tokens(&mut self, router: usize, request: RequestId, text: &Bytes) {
         let now = self.network.now;
-        let Some((record, call)) = self.call_of(router, request) else {
+        let Some((record, call)) = self.open_call(router, request) else {
             return;
         };
         let (mut misattributed, mut doubled) = (0, 0);
@@ -135,9 +135,9 @@
         self.broken.doubled += doubled;
     }
 
-    pub(super) fn end(&mut self, router: usize, request: RequestId, outcome: &Outcome) {
+    pub(super) fn receive_end(&mut self, router: usize, request: RequestId, outcome: &Outcome) {
         let now = self.network.now;
-        let Some((record, call)) = self.call_of(router, request) else {
+        let Some((record, call)) = self.open_call(router, request) else {
             return;
         };
         let end = match outcome {
@@ -149,14 +149,14 @@
         };
         call.end = Some((end, now));
         if end == End::NotRun
-            && self.ran.contains_key(&record)
+            && self.executions.contains_key(&record)
             && self.site.class[self.trace[record].class].once
         {
             self.broken.not_run_ran += 1;
         }
     }
 
-    pub(super) fn impatient(&mut self, record: usize) {
+    pub(super) fn time_out(&mut self, record: usize) {
         let now = self.network.now;
         let Some(call) = self.calls[record].as_mut() else {
             return;
@@ -175,7 +175,7 @@
 
     /// Callers of a router that is gone see their connections break. They try another address
     /// once if no part of an answer came: a repeated request is safe under its key, or idempotent.
-    pub(super) fn break_callers(&mut self, router: usize) {
+    pub(super) fn break_connections(&mut self, router: usize) {
         let now = self.network.now;
         for record in 0..self.calls.len() {
             let Some(call) = self.calls[record].as_mut() else {
@@ -184,8 +184,8 @@
             if call.router != router || call.end.is_some() {
                 continue;
             }
-            if call.first.is_none() && call.sends == 1 {
-                self.network.schedule(Span(self.site.to_callers_us), Item::Send(record));
+            if call.first.is_none() && call.submissions == 1 {
+                self.network.schedule(Span(self.site.to_callers_us), Item::Submit(record));
             } else {
                 call.end = Some((End::Broken, now));
             }
--- a/replay/src/simulation/faults.rs
+++ b/replay/src/simulation/faults.rs
@@ -15,7 +15,7 @@
 const HOST_LIST_LAG: Span = Span::secs(2);
 
 impl Simulation<'_> {
-    pub(super) fn fault(&mut self, fault: Fault) {
+    pub(super) fn inject(&mut self, fault: Fault) {
         match fault {
             Fault::Straggler { upstream, factor } => {
                 if let Upstream::Engine(engine) = &mut self.upstreams[upstream] {
@@ -28,33 +28,33 @@
                     Upstream::Engine(e) => e.leaving = true,
                     Upstream::Service(s) => s.leaving = true,
                 }
-                self.network.schedule(HOST_LIST_LAG, Item::Listed(upstream));
+                self.network.schedule(HOST_LIST_LAG, Item::ListLeaving(upstream));
             }
             Fault::FreezeReports(length) => {
-                self.frozen = Some((self.network.now + length, self.loads()));
+                self.frozen_reports = Some((self.network.now + length, self.loads()));
             }
             Fault::Silence { upstream } => {
-                let there = self.open.iter().filter(|(_, u)| **u == upstream);
-                self.silent.extend(there.map(|(id, _)| *id).collect::<Vec<_>>());
+                let there = self.open_attempts.iter().filter(|(_, u)| **u == upstream);
+                self.silent_attempts.extend(there.map(|(id, _)| *id).collect::<Vec<_>>());
             }
             Fault::LoseRouter { router } => {
                 self.network.kill(router);
                 let there: Vec<(AttemptKey, usize)> = self
-                    .open
+                    .open_attempts
                     .iter()
                     .filter(|(id, _)| id.0 == router)
                     .map(|(id, u)| (*id, *u))
                     .collect();
                 for (id, upstream) in there {
-                    self.open.remove(&id);
+                    self.open_attempts.remove(&id);
                     self.cancel_attempt(upstream, id);
                 }
-                self.break_callers(router);
+                self.break_connections(router);
             }
             Fault::StopRouter { router } => self.handle(router, Event::Stop),
             Fault::Outage(length) => {
                 self.network.store.mode = network::Mode::Down;
-                self.network.schedule(length, Item::Restored);
+                self.network.schedule(length, Item::EndOutage);
             }
         }
     }
@@ -66,7 +66,7 @@
             }
             Upstream::Service(service) => service.crashed = true,
         }
-        let there = self.open.iter().filter(|(_, u)| **u == upstream);
+        let there = self.open_attempts.iter().filter(|(_, u)| **u == upstream);
         let there: Vec<AttemptKey> = there.map(|(id, _)| *id).collect();
         for id in there {
             self.fail(upstream, id, Failure::Broken);
--- a/replay/src/simulation/upstreams.rs
+++ b/replay/src/simulation/upstreams.rs
@@ -24,14 +24,14 @@
 
 impl Simulation<'_> {
     pub(super) fn fail(&mut self, upstream: usize, id: AttemptKey, failure: Failure) {
-        self.open.remove(&id);
+        self.open_attempts.remove(&id);
         let delay = self.delay(id.0, upstream);
         self.network.schedule_event(delay, id.0, Event::Failed(id.1, failure));
     }
 
     pub(super) fn arrive(&mut self, router: usize, upstream: usize, dispatch: Dispatch) {
         let id = (router, dispatch.attempt);
-        if !self.open.contains_key(&id) {
+        if !self.open_attempts.contains_key(&id) {
             return;
         }
         let word = dispatch.body.get(..8).and_then(|b| b.try_into().ok()).map(u64::from_le_bytes);
@@ -54,7 +54,7 @@
             self.fail(upstream, id, Failure::Leaving);
             return;
         }
-        *self.ran.entry(record).or_default() += 1;
+        *self.executions.entry(record).or_default() += 1;
         match &mut self.upstreams[upstream] {
             Upstream::Engine(engine) => {
                 let job = Job {
@@ -76,8 +76,8 @@
             Upstream::Service(service) => {
                 let ends = service.run(now);
                 let once = self.site.class[r.class].once;
-                self.broken.doubled += u64::from(once && self.ran[&record] > 1);
-                self.network.schedule(ends.since(now), Item::Served(upstream, id, record));
+                self.broken.doubled += u64::from(once && self.executions[&record] > 1);
+                self.network.schedule(ends.since(now), Item::Complete(upstream, id, record));
             }
         }
     }
@@ -96,7 +96,7 @@
             return;
         }
         let outputs = engine.step();
-        let (busy, leaving, step) = (engine.busy(), engine.leaving, engine.step);
+        let (busy, leaving, step) = (engine.has_work(), engine.leaving, engine.step);
         engine.stepping = busy;
         if busy {
             self.network.schedule(step, Item::Step(upstream));
@@ -110,7 +110,7 @@
 
     pub(super) fn output(&mut self, upstream: usize, output: Output) {
         let (Output::Token(id, ..) | Output::Done(id, _)) = output;
-        if self.silent.contains(&id) {
+        if self.silent_attempts.contains(&id) {
             return;
         }
         let (router, attempt) = id;
@@ -123,22 +123,22 @@
                 Event::Frame { attempt, echo: attempt, offset: n, tokens: 1, text }
             }
             Output::Done(..) => {
-                self.open.remove(&id);
+                self.open_attempts.remove(&id);
                 Event::Ended { attempt, echo: attempt, status: 200 }
             }
         };
         self.network.schedule_event(delay, router, event);
     }
 
-    pub(super) fn served(&mut self, upstream: usize, id: AttemptKey, _record: usize) {
+    pub(super) fn complete(&mut self, upstream: usize, id: AttemptKey, _record: usize) {
         if let Upstream::Service(service) = &mut self.upstreams[upstream] {
             service.end();
             if service.crashed {
                 return;
             }
         }
-        self.open.remove(&id);
-        if !self.silent.contains(&id) {
+        self.open_attempts.remove(&id);
+        if !self.silent_attempts.contains(&id) {
             let delay = self.delay(id.0, upstream);
             let (router, attempt) = id;
             let event = Event::Ended { attempt, echo: attempt, status: 200 };
@@ -160,11 +160,11 @@
             return;
         }
         let lag = Span(self.site.report_lag_us);
-        let frozen = self.frozen.as_ref().filter(|(until, _)| self.network.now < *until);
+        let frozen = self.frozen_reports.as_ref().filter(|(until, _)| self.network.now < *until);
         let loads = frozen.map_or_else(|| self.loads(), |(_, loads)| loads.clone());
         for (i, load) in loads.into_iter().enumerate() {
             let (gone, added) = match &mut self.upstreams[i] {
-                Upstream::Engine(e) => (e.crashed, e.take_gained()),
+                Upstream::Engine(e) => (e.crashed, e.take_added_prefixes()),
                 Upstream::Service(s) => (s.crashed, Vec::new()),
             };
             if gone {
@@ -174,12 +174,16 @@
             let lost = self.rng.random_range(0..CACHE_LOSS) == 0;
             for router in 0..self.network.len() {
                 let load = Load { age: lag.0, ..load };
-                self.network.schedule_event(lag, router, Event::Load(self.names[i].clone(), load));
+                self.network.schedule_event(
+                    lag,
+                    router,
+                    Event::Load(self.upstream_names[i].clone(), load),
+                );
                 if lost {
                     continue;
                 }
                 let cache = Event::Cache {
-                    upstream: self.names[i].clone(),
+                    upstream: self.upstream_names[i].clone(),
                     sequence: self.cache_sequence[i],
                     added: added.clone(),
                     evicted: Vec::new(),
--- a/replay/src/site.rs
+++ b/replay/src/site.rs
@@ -106,12 +106,12 @@
     }
 
     /// Name of an organisation.
-    pub fn org(&self, i: usize) -> String {
+    pub fn organisation_name(&self, i: usize) -> String {
         format!("org-{i}")
     }
 
     /// Bearer key of an organisation.
-    pub fn key(&self, i: usize) -> String {
+    pub fn bearer_key(&self, i: usize) -> String {
         format!("key-of-org-{i}")
     }
 
@@ -155,8 +155,8 @@
         for i in 0..self.callers.len() {
             text += &format!(
                 "[[organisation]]\nname = \"{}\"\nkey_hash = \"{}\"\ndefault_class = \"{}\"\n",
-                self.org(i),
-                config::hash_key(&self.key(i)),
+                self.organisation_name(i),
+                config::hash_key(&self.bearer_key(i)),
                 self.class[0].name
             );
         }
--- a/replay/src/trace.rs
+++ b/replay/src/trace.rs
@@ -11,7 +11,7 @@
     /// When its caller sends it, in milliseconds from the start of the trace.
     pub at_ms: u64,
     /// Organisation, a number into the site's list.
-    pub org: usize,
+    pub organisation: usize,
     /// Class, a number into the site's list.
     pub class: usize,
     /// Tokens in the prompt.
@@ -37,13 +37,13 @@
         |message: &str| Error::Trace { file: file.to_owned(), line, message: message.to_owned() };
     let fields: Result<Vec<u64>, _> = text.split(',').map(|f| f.trim().parse()).collect();
     let fields = fields.map_err(|_| wrong("a field is no whole number"))?;
-    let [at_ms, org, class, prompt, prefix, output] = fields[..] else {
+    let [at_ms, organisation, class, prompt, prefix, output] = fields[..] else {
         return Err(wrong("a record has six fields"));
     };
     let small = |n: u64| u32::try_from(n).map_err(|_| wrong("a number is too large"));
     Ok(Record {
         at_ms,
-        org: small(org)? as usize,
+        organisation: small(organisation)? as usize,
         class: small(class)? as usize,
         prompt: small(prompt)?,
         prefix,
@@ -55,8 +55,8 @@
 pub fn write(head: &str, records: &[Record]) -> String {
     let mut text = format!("# {head}\n");
     for r in records {
-        let Record { at_ms, org, class, prompt, prefix, output } = r;
-        text += &format!("{at_ms},{org},{class},{prompt},{prefix},{output}\n");
+        let Record { at_ms, organisation, class, prompt, prefix, output } = r;
+        text += &format!("{at_ms},{organisation},{class},{prompt},{prefix},{output}\n");
     }
     text
 }
