--- a/replay/tests/keys.rs
+++ b/replay/tests/keys.rs
@@ -17,20 +17,20 @@
 fn a_retry_gets_the_stored_answer_anywhere() {
     // Arrange
     let mut cluster = Cluster::start(3, 1);
-    let key = format!("{}bid-1", cluster.prefix(0));
+    let key = format!("{}bid-1", cluster.key_prefix(0));
 
     // Act
     let first = cluster.submit(0, &key, "bid 1");
     let joined = cluster.submit(1, &key, "bid 1");
-    cluster.run(Span::secs(1));
+    cluster.advance(Span::secs(1));
     let later = cluster.submit(2, &key, "bid 1");
-    cluster.run(Span::secs(1));
+    cluster.advance(Span::secs(1));
 
     // Assert
     assert!(cluster.is_whole(0, first));
     assert!(cluster.is_whole(1, joined));
     assert!(cluster.is_whole(2, later));
-    assert_eq!(cluster.runs_of("bid 1"), 1);
+    assert_eq!(cluster.executions_of("bid 1"), 1);
 }
 
 /// Two different bids under one key: the second is an error, not the first one's answer.
@@ -38,16 +38,16 @@
 fn a_key_with_another_body_is_refused() {
     // Arrange
     let mut cluster = Cluster::start(3, 2);
-    let key = format!("{}bid-1", cluster.prefix(0));
+    let key = format!("{}bid-1", cluster.key_prefix(0));
 
     // Act
     cluster.submit(0, &key, "bid 1");
-    cluster.run(Span::secs(1));
+    cluster.advance(Span::secs(1));
     let other = cluster.submit(0, &key, "bid 2");
 
     // Assert
     assert_eq!(cluster.verdict(0, other), Some(Verdict::NotRun));
-    assert_eq!(cluster.runs_of("bid 2"), 0);
+    assert_eq!(cluster.executions_of("bid 2"), 0);
 }
 
 /// The service runs a bid and its connection breaks before the answer. Nobody knows whether it
@@ -57,19 +57,19 @@
     // Arrange
     let mut cluster = Cluster::start(3, 3);
     cluster.break_every = 1;
-    let key = format!("{}bid-1", cluster.prefix(0));
+    let key = format!("{}bid-1", cluster.key_prefix(0));
 
     // Act
     let first = cluster.submit(0, &key, "bid 1");
-    cluster.run(Span::secs(1));
+    cluster.advance(Span::secs(1));
     cluster.break_every = 0;
     let again = cluster.submit(1, &key, "bid 1");
-    cluster.run(Span::secs(1));
+    cluster.advance(Span::secs(1));
 
     // Assert
     assert_eq!(cluster.verdict(0, first), Some(Verdict::OutcomeUnknown));
     assert_eq!(cluster.verdict(1, again), Some(Verdict::OutcomeUnknown));
-    assert_eq!(cluster.runs_of("bid 1"), 1);
+    assert_eq!(cluster.executions_of("bid 1"), 1);
 }
 
 /// The home is killed while a bid runs. Retries at other routers hear that nobody knows, at once,
@@ -78,23 +78,23 @@
 fn a_crashed_home_never_runs_a_key_again() {
     // Arrange
     let mut cluster = Cluster::start(3, 4);
-    let key = format!("{}bid-1", cluster.prefix(0));
+    let key = format!("{}bid-1", cluster.key_prefix(0));
 
     // Act
     cluster.submit(0, &key, "bid 1");
-    cluster.run(Span::millis(5));
+    cluster.advance(Span::millis(5));
     cluster.network.kill(0);
-    cluster.run(Span::secs(6));
+    cluster.advance(Span::secs(6));
     let other = cluster.submit(1, &key, "bid 1");
     cluster.restart(0);
-    cluster.run(Span::secs(10));
+    cluster.advance(Span::secs(10));
     let reborn = cluster.submit(0, &key, "bid 1");
-    cluster.run(Span::secs(1));
+    cluster.advance(Span::secs(1));
 
     // Assert
     assert_eq!(cluster.verdict(1, other), Some(Verdict::OutcomeUnknown));
     assert_eq!(cluster.verdict(0, reborn), Some(Verdict::OutcomeUnknown));
-    assert!(cluster.runs_of("bid 1") <= 1);
+    assert!(cluster.executions_of("bid 1") <= 1);
 }
 
 /// The home freezes with a bid in hand, the caller tries elsewhere, and the home goes on: it still
@@ -103,23 +103,23 @@
 fn a_paused_home_that_returns_runs_it_once() {
     // Arrange
     let mut cluster = Cluster::start(3, 5);
-    let key = format!("{}bid-1", cluster.prefix(0));
+    let key = format!("{}bid-1", cluster.key_prefix(0));
 
     // Act
     cluster.network.pause(0);
     let early = cluster.submit(1, &key, "bid 1");
-    cluster.run(Span::secs(8));
+    cluster.advance(Span::secs(8));
     let late = cluster.submit(2, &key, "bid 1");
     cluster.network.resume(0);
-    cluster.run(Span::secs(60));
+    cluster.advance(Span::secs(60));
     let after = cluster.submit(1, &key, "bid 1");
-    cluster.run(Span::secs(2));
+    cluster.advance(Span::secs(2));
 
     // Assert
     assert_eq!(cluster.verdict(1, early), Some(Verdict::OutcomeUnknown));
     assert_eq!(cluster.verdict(2, late), Some(Verdict::OutcomeUnknown));
     assert!(cluster.is_whole(1, after));
-    assert_eq!(cluster.runs_of("bid 1"), 1);
+    assert_eq!(cluster.executions_of("bid 1"), 1);
 }
 
 /// The home stops by plan. Its keys go to a successor, and a retry anywhere gets the stored
@@ -130,25 +130,25 @@
     let mut cluster = Cluster::start(9, 6);
     cluster.network.store.mode = Mode::Down;
     cluster.network.drop_every = 7;
-    let key = format!("{}bid-1", cluster.prefix(0));
+    let key = format!("{}bid-1", cluster.key_prefix(0));
     cluster.submit(0, &key, "bid 1");
-    cluster.run(Span::secs(1));
+    cluster.advance(Span::secs(1));
 
     // Act
     cluster.handle(0, Event::Stop);
-    cluster.run(Span::secs(30));
+    cluster.advance(Span::secs(30));
     let retries: Vec<_> = (1..9).map(|i| (i, cluster.submit(i, &key, "bid 1"))).collect();
     let fresh = format!("{}bid-2", key.split_once('~').expect("a prefix").0.to_owned() + "~");
     let new = cluster.submit(5, &fresh, "bid 2");
-    cluster.run(Span::secs(10));
+    cluster.advance(Span::secs(10));
 
     // Assert
     assert_eq!(cluster.exited, vec![0]);
     for (router, id) in retries {
-        assert!(cluster.is_whole(router, id), "router {router}: {:?}", cluster.end(router, id));
+        assert!(cluster.is_whole(router, id), "router {router}: {:?}", cluster.outcome(router, id));
     }
-    assert!(cluster.is_whole(5, new), "{:?}", cluster.end(5, new));
-    assert_eq!((cluster.runs_of("bid 1"), cluster.runs_of("bid 2")), (1, 1));
+    assert!(cluster.is_whole(5, new), "{:?}", cluster.outcome(5, new));
+    assert_eq!((cluster.executions_of("bid 1"), cluster.executions_of("bid 2")), (1, 1));
 }
 
 /// Bids for a stopping home are forwarded to it all through its stop, by routers that have not
@@ -159,26 +159,26 @@
     for offset in 0..20 {
         // Arrange
         let mut cluster = Cluster::start(3, 8);
-        let prefix = cluster.prefix(0);
+        let prefix = cluster.key_prefix(0);
         cluster.handle(0, Event::Stop);
-        cluster.run(Span::millis(11_850 + 2 * offset));
+        cluster.advance(Span::millis(11_850 + 2 * offset));
 
         // Act
         for n in 0..8 {
             cluster.submit(1, &format!("{prefix}{n}"), &format!("bid {n}"));
-            cluster.run(Span::millis(40));
+            cluster.advance(Span::millis(40));
         }
-        cluster.run(Span::secs(30));
+        cluster.advance(Span::secs(30));
         for n in 0..8 {
             cluster.submit(2, &format!("{prefix}{n}"), &format!("bid {n}"));
         }
-        cluster.run(Span::secs(5));
+        cluster.advance(Span::secs(5));
 
         // Assert
         assert_eq!(cluster.exited, vec![0]);
-        let twice: Vec<_> = cluster.runs.iter().filter(|(_, runs)| **runs > 1).collect();
+        let twice: Vec<_> = cluster.executions.iter().filter(|(_, runs)| **runs > 1).collect();
         assert!(twice.is_empty(), "{offset}: {twice:?}");
-        assert_eq!(cluster.runs.len(), 8);
+        assert_eq!(cluster.executions.len(), 8);
     }
 }
 
@@ -188,49 +188,49 @@
 fn a_key_of_a_forgotten_epoch_never_runs() {
     // Arrange
     let mut cluster = Cluster::start(3, 7);
-    let key = format!("{}bid-1", cluster.prefix(0));
+    let key = format!("{}bid-1", cluster.key_prefix(0));
     cluster.submit(0, &key, "bid 1");
-    cluster.run(Span::secs(1));
+    cluster.advance(Span::secs(1));
 
     // Act
-    cluster.run(Span(idempotency::EPOCH_LENGTH.0 * 2));
+    cluster.advance(Span(idempotency::EPOCH_LENGTH.0 * 2));
     let late = cluster.submit(0, &key, "bid 1");
     let unseen = cluster.submit(1, &format!("{}bid-2", key.trim_end_matches("bid-1")), "bid 2");
-    cluster.run(Span::secs(1));
+    cluster.advance(Span::secs(1));
 
     // Assert
     assert_eq!(cluster.verdict(0, late), Some(Verdict::OutcomeUnknown));
     assert_eq!(cluster.verdict(1, unseen), Some(Verdict::OutcomeUnknown));
-    assert_eq!((cluster.runs_of("bid 1"), cluster.runs_of("bid 2")), (1, 0));
+    assert_eq!((cluster.executions_of("bid 1"), cluster.executions_of("bid 2")), (1, 0));
 }
 
 /// A step of a random history.
 #[derive(Clone, Debug)]
-enum Move {
+enum Operation {
     Submit { router: usize, home: usize, bid: u8 },
     Kill(usize),
     Restart(usize),
     Pause(usize),
     Resume(usize),
     Stop(usize),
-    Cut(usize),
+    Isolate(usize),
     Heal,
     Wait(u64),
 }
 
-fn moves() -> impl Strategy<Value = Move> {
+fn operations() -> impl Strategy<Value = Operation> {
     let router = 0..4usize;
     prop_oneof![
         8 => (router.clone(), router.clone(), 0..4u8)
-            .prop_map(|(router, home, bid)| Move::Submit { router, home, bid }),
-        1 => router.clone().prop_map(Move::Kill),
-        2 => router.clone().prop_map(Move::Restart),
-        1 => router.clone().prop_map(Move::Pause),
-        2 => router.clone().prop_map(Move::Resume),
-        1 => router.clone().prop_map(Move::Stop),
-        1 => router.prop_map(Move::Cut),
-        1 => Just(Move::Heal),
-        6 => (1..4_000u64).prop_map(Move::Wait),
+            .prop_map(|(router, home, bid)| Operation::Submit { router, home, bid }),
+        1 => router.clone().prop_map(Operation::Kill),
+        2 => router.clone().prop_map(Operation::Restart),
+        1 => router.clone().prop_map(Operation::Pause),
+        2 => router.clone().prop_map(Operation::Resume),
+        1 => router.clone().prop_map(Operation::Stop),
+        1 => router.prop_map(Operation::Isolate),
+        1 => Just(Operation::Heal),
+        6 => (1..4_000u64).prop_map(Operation::Wait),
     ]
 }
 
@@ -241,7 +241,7 @@
     /// and nothing runs of which every submission was said not to have run.
     #[test]
     fn nothing_ever_runs_twice(
-        history in proptest::collection::vec(moves(), 1..60),
+        history in proptest::collection::vec(operations(), 1..60),
         lose in prop_oneof![Just(0u64), Just(4)],
         break_every in prop_oneof![Just(0u32), Just(3)],
         seed in 0..1_000u64,
@@ -249,32 +249,32 @@
         let mut cluster = Cluster::start(4, seed);
         cluster.network.drop_every = lose;
         cluster.break_every = break_every;
-        let prefixes: Vec<String> = (0..4).map(|i| cluster.prefix(i)).collect();
+        let prefixes: Vec<String> = (0..4).map(|i| cluster.key_prefix(i)).collect();
         let mut sent = Vec::new();
         for step in history {
             match step {
-                Move::Submit { router, home, bid } => {
+                Operation::Submit { router, home, bid } => {
                     let body = format!("bid {home} {bid}");
                     let key = format!("{}{bid}", prefixes[home]);
                     let id = cluster.submit(router, &key, &body);
                     sent.push((router, id, body));
                 }
-                Move::Kill(router) => cluster.network.kill(router),
-                Move::Restart(router) if !cluster.network.is_running(router) => cluster.restart(router),
-                Move::Restart(_) => {}
-                Move::Pause(router) => cluster.network.pause(router),
-                Move::Resume(router) => cluster.network.resume(router),
-                Move::Stop(router) => cluster.handle(router, Event::Stop),
-                Move::Cut(router) => cluster.network.partition(&[router]),
-                Move::Heal => cluster.network.unreachable.clear(),
-                Move::Wait(ms) => cluster.run(Span::millis(ms)),
+                Operation::Kill(router) => cluster.network.kill(router),
+                Operation::Restart(router) if !cluster.network.is_running(router) => cluster.restart(router),
+                Operation::Restart(_) => {}
+                Operation::Pause(router) => cluster.network.pause(router),
+                Operation::Resume(router) => cluster.network.resume(router),
+                Operation::Stop(router) => cluster.handle(router, Event::Stop),
+                Operation::Isolate(router) => cluster.network.partition(&[router]),
+                Operation::Heal => cluster.network.unreachable.clear(),
+                Operation::Wait(ms) => cluster.advance(Span::millis(ms)),
             }
         }
         (0..4).for_each(|router| cluster.network.resume(router));
         cluster.network.unreachable.clear();
-        cluster.run(Span::secs(120));
+        cluster.advance(Span::secs(120));
 
-        for (body, runs) in &cluster.runs {
+        for (body, runs) in &cluster.executions {
             prop_assert!(*runs <= 1, "{body:?} ran {runs} times");
             let said = sent.iter().filter(|(_, _, b)| b.as_bytes() == body);
             let verdicts: Vec<_> = said.map(|(r, id, _)| cluster.verdict(*r, *id)).collect();
--- a/replay/tests/leaving.rs
+++ b/replay/tests/leaving.rs
@@ -28,7 +28,7 @@
 
         // Act
         cluster.network.store.put(LEAVING_HOSTS_KEY, Bytes::from_static(b"[\"s1\"]"));
-        let took = cluster.run_until(WITHIN, |c| !open_anywhere(c, "s1"));
+        let took = cluster.advance_until(WITHIN, |c| !open_anywhere(c, "s1"));
 
         // Assert
         assert!(took.is_some(), "seed {seed}");
@@ -48,9 +48,9 @@
     // Act
     cluster.handle(4, Event::Failed(attempt, laburnumwheel_core::event::Failure::Leaving));
     let took =
-        cluster.run_until(WITHIN, |c| ["s1", "s2"].iter().any(|name| !open_anywhere(c, name)));
+        cluster.advance_until(WITHIN, |c| ["s1", "s2"].iter().any(|name| !open_anywhere(c, name)));
 
-    cluster.run(Span::secs(1));
+    cluster.advance(Span::secs(1));
 
     // Assert
     assert!(took.is_some());
--- a/replay/tests/limits.rs
+++ b/replay/tests/limits.rs
@@ -16,7 +16,7 @@
     let mut limited = support::config(1);
     limited.organisations[0].requests_per_second = LIMIT as u32;
     cluster.network.store.publish(2, &limited);
-    cluster.run(Span::secs(8));
+    cluster.advance(Span::secs(8));
     assert_eq!(cluster.version(8), 2);
     cluster
 }
@@ -36,12 +36,12 @@
                 sent.push((router, cluster.submit(router, "", &body)));
             }
         }
-        cluster.run(Span::millis(10));
+        cluster.advance(Span::millis(10));
     }
-    cluster.run(Span::secs(2));
-    let taken = sent
-        .iter()
-        .filter(|(router, id)| matches!(cluster.end(*router, *id), Some(Outcome::Whole { .. })));
+    cluster.advance(Span::secs(2));
+    let taken = sent.iter().filter(|(router, id)| {
+        matches!(cluster.outcome(*router, *id), Some(Outcome::Whole { .. }))
+    });
     taken.count() as f64 / seconds as f64
 }
 
@@ -107,7 +107,7 @@
     // Arrange
     let mut cluster = limited(4);
     cluster.network.partition(&[0, 1, 2, 3]);
-    cluster.run(Span::secs(15));
+    cluster.advance(Span::secs(15));
     offer(&mut cluster, 720.0, 10, EVEN);
 
     // Act
--- a/replay/tests/members.rs
+++ b/replay/tests/members.rs
@@ -18,8 +18,9 @@
 
         // Act
         cluster.network.kill(1);
-        let took = cluster
-            .run_until(Span::secs(5), |c| (0..routers).filter(|i| *i != 1).all(|i| !c.names(i, 1)));
+        let took = cluster.advance_until(Span::secs(5), |c| {
+            (0..routers).filter(|i| *i != 1).all(|i| !c.lists(i, 1))
+        });
 
         // Assert
         assert!(took.is_some(), "{routers} routers");
@@ -35,10 +36,10 @@
     cluster.network.store.mode = Mode::Down;
 
     // Act
-    cluster.run(Span::secs(300));
+    cluster.advance(Span::secs(300));
     let during: Vec<usize> = (0..9).map(|i| cluster.serving_seen_by(i)).collect();
     cluster.network.kill(4);
-    cluster.run(Span::secs(5));
+    cluster.advance(Span::secs(5));
 
     // Assert
     assert_eq!(during, vec![9; 9]);
@@ -60,7 +61,7 @@
 
     // Act
     cluster.network.add(laburnumwheel_replay::network::Router::Node(Box::new(node)), 0);
-    cluster.run(Span::secs(10));
+    cluster.advance(Span::secs(10));
 
     // Assert
     assert_eq!(cluster.version(3), 1);
@@ -78,10 +79,10 @@
 
     // Act
     cluster.network.pause(2);
-    cluster.run(Span::secs(10));
-    let gone = (0..9).filter(|i| *i != 2).all(|i| !cluster.names(i, 2));
+    cluster.advance(Span::secs(10));
+    let gone = (0..9).filter(|i| *i != 2).all(|i| !cluster.lists(i, 2));
     cluster.network.resume(2);
-    cluster.run(Span::secs(15));
+    cluster.advance(Span::secs(15));
 
     // Assert
     assert!(gone);
@@ -99,10 +100,10 @@
     cluster.network.partition(&[0, 1, 2, 3]);
 
     // Act
-    cluster.run(Span::secs(3_600));
+    cluster.advance(Span::secs(3_600));
     let apart = (cluster.serving_seen_by(0), cluster.serving_seen_by(8));
     cluster.network.unreachable.clear();
-    cluster.run(Span::secs(30));
+    cluster.advance(Span::secs(30));
 
     // Assert
     assert_eq!(apart, (4, 5));
@@ -122,7 +123,7 @@
     // Act
     let mut seen = Vec::new();
     for _ in 0..120 {
-        cluster.run(Span::secs(1));
+        cluster.advance(Span::secs(1));
         seen.extend((0..9).map(|i| cluster.serving_seen_by(i)));
     }
 
@@ -145,7 +146,7 @@
     // Act
     let mut least = 9;
     for _ in 0..300 {
-        cluster.run(Span::millis(100));
+        cluster.advance(Span::millis(100));
         least = (0..9).map(|i| cluster.serving_seen_by(i)).min().unwrap_or(0).min(least);
     }
 
@@ -162,12 +163,12 @@
 
     // Act
     cluster.handle(3, Event::Stop);
-    let took = cluster.run_until(Span::secs(3), |c| (0..9).all(|i| !c.names(i, 3)));
+    let took = cluster.advance_until(Span::secs(3), |c| (0..9).all(|i| !c.lists(i, 3)));
     let up_after_ttl = {
-        cluster.run(Span::secs(8));
+        cluster.advance(Span::secs(8));
         cluster.network.is_running(3)
     };
-    cluster.run(Span::secs(15));
+    cluster.advance(Span::secs(15));
 
     // Assert
     assert!(took.is_some());
@@ -185,7 +186,7 @@
         (cluster.network.traffic.0, cluster.network.store.reads, cluster.network.store.writes);
 
     // Act
-    cluster.run(Span::secs(60));
+    cluster.advance(Span::secs(60));
 
     // Assert
     let each = (cluster.network.traffic.0 - bytes) as f64 / 9.0 / 60.0;
--- a/replay/tests/orders.rs
+++ b/replay/tests/orders.rs
@@ -14,10 +14,10 @@
 
 const ENGINES: usize = 4;
 
-fn config(version: &str, checks: bool) -> Config {
+fn config(version: &str, checks_fencing: bool) -> Config {
     let mut text = format!(
         "[[class]]\nname = \"c\"\ntier = 0\nfirst_token_ms = 500\n\
-         [[group]]\nname = \"g\"\nmodels = [\"m\"]\nchecks_fencing = {checks}\n\
+         [[group]]\nname = \"g\"\nmodels = [\"m\"]\nchecks_fencing = {checks_fencing}\n\
          version = \"{version}\"\nadapters = [\"a1\"]\nrole = \"decode\"\n"
     );
     for i in 0..ENGINES {
@@ -30,20 +30,20 @@
     config::parse(&[Source { name: "test".to_owned(), text }]).expect("a valid file")
 }
 
-fn start(checks: bool, seed: u64) -> Cluster {
+fn start(checks_fencing: bool, seed: u64) -> Cluster {
     let mut cluster = Cluster::start(3, seed);
     for i in 0..ENGINES {
-        let engine = Engine { checks, ..Engine::default() };
+        let engine = Engine { checks_fencing, ..Engine::default() };
         cluster.engines.insert(format!("e{i}"), engine);
     }
     cluster
 }
 
 /// Lets time pass while routers hear what engines have.
-fn run(cluster: &mut Cluster, seconds: u64) {
+fn advance(cluster: &mut Cluster, seconds: u64) {
     for _ in 0..seconds * 2 {
-        cluster.tell_deployed();
-        cluster.run(Span::millis(500));
+        cluster.report_deployments();
+        cluster.advance(Span::millis(500));
     }
 }
 
@@ -63,7 +63,7 @@
     cluster.network.store.publish(2, &config("v2", true));
 
     // Act
-    run(&mut cluster, 20);
+    advance(&mut cluster, 20);
 
     // Assert
     assert_eq!(versions(&cluster), vec!["v2"; ENGINES]);
@@ -80,33 +80,33 @@
 /// had arrived.
 #[test]
 fn a_paused_orderer_does_no_harm() {
-    for checks in [true, false] {
+    for checks_fencing in [true, false] {
         // Arrange
-        let mut cluster = start(checks, 2);
-        cluster.network.store.publish(2, &config("v2", checks));
-        run(&mut cluster, 2);
+        let mut cluster = start(checks_fencing, 2);
+        cluster.network.store.publish(2, &config("v2", checks_fencing));
+        advance(&mut cluster, 2);
         let old = (0..40)
             .find_map(|_| {
-                run(&mut cluster, 1);
+                advance(&mut cluster, 1);
                 cluster.orders.last().map(|o| o.1)
             })
             .expect("an order");
-        let late = if checks { Span::secs(60) } else { order::MAX_ORDER_DELAY };
+        let late = if checks_fencing { Span::secs(60) } else { order::MAX_ORDER_DELAY };
         cluster.order_delay.insert(old, late);
-        cluster.network.store.publish(3, &config("v2b", checks));
-        run(&mut cluster, 4);
+        cluster.network.store.publish(3, &config("v2b", checks_fencing));
+        advance(&mut cluster, 4);
 
         // Act
         cluster.network.pause(old);
-        cluster.network.store.publish(4, &config("v3", checks));
-        run(&mut cluster, 45);
+        cluster.network.store.publish(4, &config("v3", checks_fencing));
+        advance(&mut cluster, 45);
         let new = orderer(&cluster);
         cluster.network.resume(old);
-        run(&mut cluster, 90);
+        advance(&mut cluster, 90);
 
         // Assert
         assert_ne!(new, old);
-        assert_eq!(versions(&cluster), vec!["v3"; ENGINES], "checks {checks}");
+        assert_eq!(versions(&cluster), vec!["v3"; ENGINES], "checks_fencing {checks_fencing}");
         for (name, engine) in &cluster.engines {
             let last_old = engine.loaded.iter().rposition(|v| v != "v3");
             let first_new = engine.loaded.iter().position(|v| v == "v3");
@@ -124,15 +124,15 @@
     // Act
     for version in 2..8 {
         cluster.network.store.publish(version, &config(&format!("v{version}"), true));
-        run(&mut cluster, 12);
+        advance(&mut cluster, 12);
         let Some((_, router, _)) = cluster.orders.last().copied() else {
             continue;
         };
         cluster.network.pause(router);
-        run(&mut cluster, 25);
+        advance(&mut cluster, 25);
         cluster.network.resume(router);
     }
-    run(&mut cluster, 40);
+    advance(&mut cluster, 40);
 
     // Assert
     let fences: Vec<i64> = cluster.orders.iter().map(|o| o.2).collect();
@@ -147,11 +147,11 @@
     // Arrange
     let mut cluster = start(false, 4);
     cluster.network.store.publish(2, &config("v2", false));
-    cluster.run(Span::secs(3));
+    cluster.advance(Span::secs(3));
 
     // Act
     cluster.network.store.mode = Mode::LoseReplies;
-    run(&mut cluster, 20);
+    advance(&mut cluster, 20);
 
     // Assert
     assert_eq!(versions(&cluster), vec!["v2"; ENGINES]);
@@ -163,11 +163,11 @@
     // Arrange
     let mut cluster = start(false, 5);
     cluster.network.store.publish(2, &config("v2", false));
-    cluster.run(Span::secs(5));
+    cluster.advance(Span::secs(5));
     cluster.network.store.mode = Mode::Down;
 
     // Act
-    run(&mut cluster, 60);
+    advance(&mut cluster, 60);
 
     // Assert
     assert_eq!(cluster.orders, Vec::new());
--- a/replay/tests/rolling.rs
+++ b/replay/tests/rolling.rs
@@ -10,7 +10,7 @@
 
 const ROUTERS: usize = 9;
 /// Callers keep an entry answer for this long.
-const KEPT: Span = Span::secs(10);
+const ENTRY_TTL: Span = Span::secs(10);
 
 /// A caller that keeps its router for the answer's time to live, then takes the next that takes
 /// callers.
@@ -29,7 +29,7 @@
     let first = &answer.addresses[0];
     let number = first.address.rsplit(':').next().and_then(|p| p.parse::<usize>().ok());
     let router = number.expect("a port") - 9000;
-    Caller { router, prefix: first.key_prefix.clone(), left: KEPT.as_millis() / 100 }
+    Caller { router, prefix: first.key_prefix.clone(), left: ENTRY_TTL.as_millis() / 100 }
 }
 
 /// Every router is replaced, one after another, while six callers send bids. Each bid is answered
@@ -58,17 +58,17 @@
                 let id = cluster.submit(caller.router, &key, &format!("bid {bid}"));
                 sent.push((caller.router, id));
             }
-            cluster.run(Span::millis(100));
+            cluster.advance(Span::millis(100));
         }
         cluster.restart(stopping);
-        cluster.run(Span::secs(5));
+        cluster.advance(Span::secs(5));
     }
-    cluster.run(Span::secs(5));
+    cluster.advance(Span::secs(5));
 
     // Assert
     let whole = sent.iter().filter(|(router, id)| cluster.is_whole(*router, *id)).count();
     assert_eq!(whole, sent.len());
-    assert_eq!(cluster.runs.len(), sent.len());
-    assert!(cluster.runs.values().all(|runs| *runs == 1));
+    assert_eq!(cluster.executions.len(), sent.len());
+    assert!(cluster.executions.values().all(|runs| *runs == 1));
     assert_eq!(cluster.exited, (0..ROUTERS).collect::<Vec<_>>());
 }
--- a/replay/tests/spread.rs
+++ b/replay/tests/spread.rs
@@ -9,7 +9,7 @@
 const ROUTERS: usize = 9;
 /// Callers of each organisation: three are large.
 const CALLERS: [usize; 10] = [40, 30, 20, 4, 4, 4, 4, 4, 4, 4];
-const KEPT_S: u64 = 10;
+const ENTRY_TTL_S: u64 = 10;
 
 /// Ten organisations keep their answers for 10 s. No router gets much more than its part of the
 /// callers, and most callers get a router in their own failure domain.
@@ -25,7 +25,7 @@
     // Act
     for second in 0..120 {
         for (caller, place) in at.iter_mut().enumerate() {
-            if second > KEPT_S && !(second + caller as u64).is_multiple_of(KEPT_S) {
+            if second > ENTRY_TTL_S && !(second + caller as u64).is_multiple_of(ENTRY_TTL_S) {
                 continue;
             }
             let now = cluster.network.now;
@@ -43,12 +43,12 @@
         for (router, _) in &at {
             load[*router] += 1;
         }
-        if second > KEPT_S {
+        if second > ENTRY_TTL_S {
             let mean = callers as f64 / ROUTERS as f64;
             most = most.max(load.iter().copied().max().unwrap_or(0) as f64 / mean);
             loads.iter_mut().zip(load).for_each(|(sum, n)| *sum += n);
         }
-        cluster.run(Span::secs(1));
+        cluster.advance(Span::secs(1));
     }
 
     // Assert
--- a/replay/tests/support/mod.rs
+++ b/replay/tests/support/mod.rs
@@ -44,7 +44,7 @@
 /// What an engine was ordered.
 #[derive(Clone, Debug, Default)]
 pub struct Engine {
-    pub checks: bool,
+    pub checks_fencing: bool,
     pub fence: i64,
     pub deployment: Deployment,
     /// Versions in the order they were loaded.
@@ -57,9 +57,9 @@
 pub struct Cluster {
     pub network: Network<Item>,
     /// How often each body ran.
-    pub runs: BTreeMap<Bytes, u32>,
+    pub executions: BTreeMap<Bytes, u32>,
     /// Outcomes by router and request.
-    pub ends: BTreeMap<(usize, RequestId), Outcome>,
+    pub outcomes: BTreeMap<(usize, RequestId), Outcome>,
     /// Routers that have exited by plan.
     pub exited: Vec<usize>,
     /// Calls whose connection breaks after they ran: every so many, 0 for none.
@@ -108,8 +108,8 @@
     pub fn start(routers: usize, seed: u64) -> Cluster {
         let mut cluster = Cluster {
             network: Network::new(BETWEEN_DOMAINS),
-            runs: BTreeMap::new(),
-            ends: BTreeMap::new(),
+            executions: BTreeMap::new(),
+            outcomes: BTreeMap::new(),
             exited: Vec::new(),
             break_every: 0,
             engines: BTreeMap::new(),
@@ -125,7 +125,7 @@
             let router = node(i, 1, seed, &cluster.network);
             cluster.network.add(router, i % 2);
         }
-        cluster.run(Span::secs(8));
+        cluster.advance(Span::secs(8));
         for i in 0..routers {
             assert_eq!(cluster.serving_seen_by(i), routers, "router {i} at the start");
         }
@@ -140,7 +140,7 @@
     }
 
     /// Lets time pass.
-    pub fn run(&mut self, span: Span) {
+    pub fn advance(&mut self, span: Span) {
         let until = self.network.now + span;
         while let Some(step) = self.network.next(until) {
             match step {
@@ -153,19 +153,19 @@
     }
 
     /// Lets time pass until a condition holds; returns how long that took.
-    pub fn run_until(&mut self, most: Span, done: impl Fn(&Cluster) -> bool) -> Option<Span> {
+    pub fn advance_until(&mut self, most: Span, done: impl Fn(&Cluster) -> bool) -> Option<Span> {
         let began = self.network.now;
         while self.network.now.since(began) < most {
             if done(self) {
                 return Some(self.network.now.since(began));
             }
-            self.run(Span::millis(10));
+            self.advance(Span::millis(10));
         }
         None
     }
 
     fn arrive(&mut self, router: usize, d: Box<Dispatch>) {
-        *self.runs.entry(d.body.clone()).or_default() += 1;
+        *self.executions.entry(d.body.clone()).or_default() += 1;
         self.network.schedule(WORK, Item::Answer(router, d));
     }
 
@@ -173,7 +173,7 @@
         let Some(engine) = self.engines.get_mut(&order.upstream) else {
             return;
         };
-        let fenced = engine.checks && order.fence < engine.fence;
+        let fenced = engine.checks_fencing && order.fence < engine.fence;
         if fenced {
             engine.refused += 1;
         } else {
@@ -186,7 +186,7 @@
     }
 
     /// All routers hear what the engines have.
-    pub fn tell_deployed(&mut self) {
+    pub fn report_deployments(&mut self) {
         for (name, engine) in self.engines.clone() {
             for router in 0..self.network.len() {
                 self.handle(router, Event::Deployed(name.clone(), engine.deployment.clone()));
@@ -216,7 +216,7 @@
             match action {
                 Action::Dispatch(d) => self.network.schedule(Span(500), Item::Arrive(router, d)),
                 Action::Finish(id, outcome) => {
-                    let before = self.ends.insert((router, id), outcome);
+                    let before = self.outcomes.insert((router, id), outcome);
                     assert_eq!(before, None, "a request ends once");
                 }
                 Action::Order(order) => {
@@ -231,7 +231,7 @@
     }
 
     /// The key prefix of a router.
-    pub fn prefix(&self, router: usize) -> String {
+    pub fn key_prefix(&self, router: usize) -> String {
         let node = self.network.node(router).expect("it runs");
         let own = node.members().next().expect("itself");
         laburnumwheel_core::idempotency::prefix(&own.home(), own.epoch)
@@ -269,13 +269,13 @@
     }
 
     /// How a request ended.
-    pub fn end(&self, router: usize, id: RequestId) -> Option<&Outcome> {
-        self.ends.get(&(router, id))
+    pub fn outcome(&self, router: usize, id: RequestId) -> Option<&Outcome> {
+        self.outcomes.get(&(router, id))
     }
 
     /// What is known of a request that ended without a whole answer.
     pub fn verdict(&self, router: usize, id: RequestId) -> Option<Verdict> {
-        match self.end(router, id)? {
+        match self.outcome(router, id)? {
             Outcome::Whole { .. } => None,
             Outcome::Refused(refusal) => Some(refusal.verdict),
         }
@@ -283,12 +283,12 @@
 
     /// Whether a request got its whole answer.
     pub fn is_whole(&self, router: usize, id: RequestId) -> bool {
-        matches!(self.end(router, id), Some(Outcome::Whole { status: 200, .. }))
+        matches!(self.outcome(router, id), Some(Outcome::Whole { status: 200, .. }))
     }
 
     /// How often a body ran.
-    pub fn runs_of(&self, body: &str) -> u32 {
-        self.runs.get(body.as_bytes()).copied().unwrap_or(0)
+    pub fn executions_of(&self, body: &str) -> u32 {
+        self.executions.get(body.as_bytes()).copied().unwrap_or(0)
     }
 
     /// Routers that callers may be sent to, in this router's view.
@@ -298,7 +298,7 @@
     }
 
     /// Whether a router's entry answers may name another.
-    pub fn names(&self, router: usize, other: usize) -> bool {
+    pub fn lists(&self, router: usize, other: usize) -> bool {
         let node = self.network.node(router).expect("it runs");
         node.members().any(|r| r.accepts_callers() && r.name == format!("r{other}"))
     }
--- a/replay/tests/versions.rs
+++ b/replay/tests/versions.rs
@@ -21,7 +21,7 @@
     let mut cluster = Cluster::start(9, 1);
     let mut config = support::config(2_000);
     cluster.network.store.publish(2, &config);
-    cluster.run(WITHIN);
+    cluster.advance(WITHIN);
     let mut longest = Span(0);
     let (bytes, reads) = (cluster.network.traffic.0, cluster.network.store.reads);
     let began = cluster.network.now;
@@ -30,7 +30,7 @@
     for version in 3..=42 {
         config.organisations[version as usize].weight = version as u32;
         cluster.network.store.publish(version, &config);
-        let took = cluster.run_until(WITHIN, |c| in_force(c, version));
+        let took = cluster.advance_until(WITHIN, |c| in_force(c, version));
         longest = longest.max(took.expect("in force within 8 s"));
     }
 
@@ -53,11 +53,11 @@
     // Arrange
     let mut cluster = Cluster::start(9, 2);
     cluster.network.store.publish(2, &support::config(3));
-    let first = cluster.run_until(WITHIN, |c| (0..9).any(|i| c.version(i) == 2));
+    let first = cluster.advance_until(WITHIN, |c| (0..9).any(|i| c.version(i) == 2));
 
     // Act
     cluster.network.store.mode = Mode::Down;
-    let rest = cluster.run_until(WITHIN, |c| in_force(c, 2));
+    let rest = cluster.advance_until(WITHIN, |c| in_force(c, 2));
 
     // Assert
     assert!(first.is_some() && rest.is_some());
@@ -73,11 +73,11 @@
     cluster.network.store.publish(2, &support::config(3));
     // Router 8 must not read the change itself.
     cluster.network.pause(8);
-    cluster.run(WITHIN);
+    cluster.advance(WITHIN);
     cluster.network.store.mode = Mode::Down;
     cluster.network.resume(8);
     cluster.network.kill(0);
-    cluster.run(Span::secs(10));
+    cluster.advance(Span::secs(10));
     cluster.network.unreachable.clear();
 
     // Act
@@ -87,7 +87,7 @@
     cluster.network.start(0, laburnumwheel_replay::network::Router::Node(Box::new(node)));
     let mut served_old = false;
     for _ in 0..200 {
-        cluster.run(Span::millis(100));
+        cluster.advance(Span::millis(100));
         let node = cluster.network.node(0).expect("it runs");
         served_old |= node.is_serving() && node.config_version() < 2;
     }
@@ -116,7 +116,7 @@
             cluster.network.unreachable.clear();
         }
         for _ in 0..80 {
-            cluster.run(Span::millis(100));
+            cluster.advance(Span::millis(100));
             for (i, highest) in highest.iter_mut().enumerate() {
                 went_back |= cluster.version(i) < *highest;
                 *highest = cluster.version(i).max(*highest);
