--- a/replay/src/baseline.rs
+++ b/replay/src/baseline.rs
@@ -1,5 +1,8 @@
-//! Two routers to compare with: round robin with first come first served, and least outstanding
-//! with strict priority. Both send at once and leave queueing to the engines.
+//! Baseline routers, which the core is compared with.
+//!
+//! One uses round robin and engines that serve requests in order of arrival; the other chooses the
+//! replica with the fewest outstanding attempts and has engines serve by strict priority. Both
+//! dispatch each request on arrival and leave the queueing to the engines.
 
 use std::collections::BTreeMap;
 
@@ -18,12 +21,13 @@
 use laburnumwheel_core::event::Target;
 use laburnumwheel_core::time::Span;
 
-/// Which baseline.
+/// Kind of baseline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// The next replica in turn; engines serve first come first served.
+    /// Chooses the next replica in turn; engines serve in order of arrival.
     RoundRobin,
-    /// The replica with the fewest attempts of this router; engines serve by strict priority.
+    /// Chooses the replica with the fewest open attempts of this router; engines serve by strict
+    /// priority.
     LeastOutstanding,
 }
 
@@ -35,8 +39,9 @@
     outstanding: u32,
 }
 
+/// Attempt that has not ended.
 #[derive(Clone, Debug)]
-struct Open {
+struct Attempt {
     request: RequestId,
     submission: Box<Submission>,
     replica: usize,
@@ -44,21 +49,22 @@
     retried: bool,
 }
 
-/// A baseline router.
+/// Baseline router.
 #[derive(Debug)]
 pub struct Baseline {
     kind: Kind,
     replicas: Vec<Replica>,
     tiers: BTreeMap<String, u8>,
     group_of_model: BTreeMap<String, String>,
-    next: usize,
-    attempts: u64,
-    open: BTreeMap<AttemptId, Open>,
+    /// Position of the round robin.
+    turn: usize,
+    last_attempt: u64,
+    open: BTreeMap<AttemptId, Attempt>,
     by_request: BTreeMap<RequestId, AttemptId>,
 }
 
 impl Baseline {
-    /// A router of this kind; `start` is where its turns begin.
+    /// Creates a router. `start` is the position at which its round robin begins.
     pub fn new(kind: Kind, config: &Config, start: usize) -> Baseline {
         let replicas = config.upstreams.iter().map(|u| Replica {
             name: u.name.clone(),
@@ -72,29 +78,31 @@
             replicas: replicas.collect(),
             tiers: config.classes.iter().map(|c| (c.name.clone(), c.tier)).collect(),
             group_of_model: models.map(|(m, g)| (m.clone(), g.clone())).collect(),
-            next: start,
-            attempts: 0,
+            turn: start,
+            last_attempt: 0,
             open: BTreeMap::new(),
             by_request: BTreeMap::new(),
         }
     }
 
-    fn choose(&mut self, group: &str, avoid: Option<usize>) -> Option<usize> {
-        self.next += 1;
+    /// Chooses a replica of a group other than `excluded`.
+    fn choose(&mut self, group: &str, excluded: Option<usize>) -> Option<usize> {
+        self.turn += 1;
         let n = self.replicas.len();
-        let turn = (0..n).map(|i| (i + self.next) % n);
-        let mut fit = turn.filter(|i| self.replicas[*i].group == group && Some(*i) != avoid);
+        let all = (0..n).map(|i| (i + self.turn) % n);
+        let mut candidates =
+            all.filter(|i| self.replicas[*i].group == group && Some(*i) != excluded);
         match self.kind {
-            Kind::RoundRobin => fit.next(),
-            Kind::LeastOutstanding => fit.min_by_key(|i| self.replicas[*i].outstanding),
+            Kind::RoundRobin => candidates.next(),
+            Kind::LeastOutstanding => candidates.min_by_key(|i| self.replicas[*i].outstanding),
         }
     }
 
-    /// Takes one event in and returns what is to be done.
+    /// Handles an event and returns the actions to perform.
     pub fn handle(&mut self, event: Event) -> Vec<Action> {
         match event {
-            Event::Request(id, submission) => self.send(id, submission, None, false),
-            Event::CallerGone(id) => self.gone(id),
+            Event::Request(id, submission) => self.dispatch(id, submission, None, false),
+            Event::CallerGone(id) => self.cancel(id),
             Event::Frame { attempt, tokens, text, .. } => {
                 let Some(open) = self.open.get_mut(&attempt) else {
                     return Vec::new();
@@ -109,19 +117,21 @@
                 let (text, tokens) = (bytes::Bytes::new(), open.delivered);
                 vec![Action::Finish(open.request, Outcome::Whole { status, text, tokens })]
             }
-            Event::Failed(attempt, failure) => self.failed(attempt, failure),
+            Event::Failed(attempt, failure) => self.fail(attempt, failure),
             _ => Vec::new(),
         }
     }
 
-    fn close(&mut self, attempt: AttemptId) -> Option<Open> {
+    /// Removes an open attempt.
+    fn close(&mut self, attempt: AttemptId) -> Option<Attempt> {
         let open = self.open.remove(&attempt)?;
         self.by_request.remove(&open.request);
         self.replicas[open.replica].outstanding -= 1;
         Some(open)
     }
 
-    fn gone(&mut self, id: RequestId) -> Vec<Action> {
+    /// Cancels the attempt of a request whose caller left.
+    fn cancel(&mut self, id: RequestId) -> Vec<Action> {
         let Some(attempt) = self.by_request.get(&id).copied() else {
             return Vec::new();
         };
@@ -129,16 +139,20 @@
         vec![Action::Cancel(attempt)]
     }
 
-    fn failed(&mut self, attempt: AttemptId, failure: Failure) -> Vec<Action> {
+    /// Retries a request whose attempt failed, or ends it.
+    ///
+    /// It is retried once, at another replica, if it did not run, or if it is idempotent and none
+    /// of its answer was delivered.
+    fn fail(&mut self, attempt: AttemptId, failure: Failure) -> Vec<Action> {
         let Some(open) = self.close(attempt) else {
             return Vec::new();
         };
-        let untouched = failure == Failure::Connect;
-        let repeat = untouched || (open.submission.idempotent && open.delivered == 0);
-        if repeat && !open.retried {
-            return self.send(open.request, open.submission, Some(open.replica), true);
+        let not_run = failure == Failure::Connect;
+        let retryable = not_run || (open.submission.idempotent && open.delivered == 0);
+        if retryable && !open.retried {
+            return self.dispatch(open.request, open.submission, Some(open.replica), true);
         }
-        let verdict = match (untouched, open.delivered) {
+        let verdict = match (not_run, open.delivered) {
             (true, _) => Verdict::NotRun,
             (false, 0) => Verdict::OutcomeUnknown,
             (false, _) => Verdict::Incomplete,
@@ -148,22 +162,23 @@
         vec![Action::Finish(open.request, Outcome::Refused(refusal))]
     }
 
-    fn send(
+    /// Dispatches a request to a replica other than `excluded`.
+    fn dispatch(
         &mut self,
         request: RequestId,
         submission: Box<Submission>,
-        avoid: Option<usize>,
+        excluded: Option<usize>,
         retried: bool,
     ) -> Vec<Action> {
         let group = match &submission.target {
             Target::Model(model) => self.group_of_model.get(model).cloned().unwrap_or_default(),
             Target::Service { name, .. } => name.clone(),
         };
-        let Some(replica) = self.choose(&group, avoid) else {
+        let Some(replica) = self.choose(&group, excluded) else {
             return Vec::new();
         };
-        self.attempts += 1;
-        let attempt = AttemptId(self.attempts);
+        self.last_attempt += 1;
+        let attempt = AttemptId(self.last_attempt);
         let tier = submission.class.as_ref().and_then(|c| self.tiers.get(c)).copied();
         let priority = match self.kind {
             Kind::RoundRobin => 0,
@@ -182,7 +197,7 @@
             offset: 0,
             partial: bytes::Bytes::new(),
         };
-        self.open.insert(attempt, Open { request, submission, replica, delivered: 0, retried });
+        self.open.insert(attempt, Attempt { request, submission, replica, delivered: 0, retried });
         self.by_request.insert(request, attempt);
         vec![Action::Dispatch(Box::new(dispatch))]
     }
--- a/replay/src/network.rs
+++ b/replay/src/network.rs
@@ -1,7 +1,9 @@
-//! Routers, the messages between them and the key-value service, in virtual time.
+//! Simulates routers, the messages between them and the key-value service in virtual time.
 //!
-//! Messages can be delayed, cut and lost; routers killed and paused; the service can be out or
-//! lose replies. What routers do towards callers and upstreams goes to the owner of the network.
+//! Messages can be delayed, blocked or lost, routers can be killed or paused, and the service can
+//! be unavailable or lose replies. Everything that happens is an entry of one queue, which runs in
+//! the order of time and of scheduling. The network performs the routers' actions towards peers
+//! and the service; it returns those towards callers and upstreams to its user.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -27,25 +29,25 @@
 
 use crate::baseline::Baseline;
 
-/// One way to the key-value service.
+/// Time that a call or its reply takes between a router and the key-value service.
 const KV_DELAY: Span = Span::millis(1);
 
-/// A router of either sort.
+/// Router on a host.
 #[derive(Debug)]
 pub enum Router {
-    /// The core.
+    /// A node of the router's core.
     Node(Box<Node>),
-    /// Something to compare with.
+    /// A baseline that the core is compared with.
     Baseline(Baseline),
 }
 
-/// How the key-value service behaves.
+/// Behaviour of the key-value service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Mode {
-    /// It answers.
+    /// It replies to all calls.
     #[default]
     Up,
-    /// It does not answer.
+    /// It is unavailable.
     Down,
     /// Writes take effect, but their replies are lost.
     LoseReplies,
@@ -54,13 +56,13 @@
 /// The key-value service.
 #[derive(Debug, Default)]
 pub struct Store {
-    /// Behaviour.
+    /// Current behaviour.
     pub mode: Mode,
-    /// Values with their modification revisions.
+    /// Values by key, each with the revision of its last write.
     pub values: BTreeMap<String, (Bytes, i64)>,
-    /// Reads so far.
+    /// Number of reads so far.
     pub reads: u64,
-    /// Writes so far.
+    /// Number of writes so far.
     pub writes: u64,
     revision: i64,
 }
@@ -72,17 +74,22 @@
         self.values.insert(key.to_owned(), (value, self.revision));
     }
 
-    /// Accepts a configuration under this version.
+    /// Writes a configuration under a version.
+    ///
+    /// # Panics
+    ///
+    /// If a part of the configuration is too large to be stored.
     pub fn publish(&mut self, version: u64, config: &Config) {
-        let shards = shard::split(config).expect("a configuration that fits");
+        let shards = shard::split(config).expect("the configuration should fit into shards");
         for (hash, content) in shards.contents {
             self.put(&format!("{SHARD_PREFIX}{hash}"), content);
         }
         let root = Root { version, operation: format!("op-{version}"), shards: shards.parts };
-        let value = serde_json::to_vec(&root).expect("a root");
+        let value = serde_json::to_vec(&root).expect("the root should be serializable");
         self.put(ROOT_KEY, Bytes::from(value));
     }
 
+    /// Performs a call. A swap writes its value only if the key has the expected revision.
     fn call(&mut self, call: &KvCall) -> KvReply {
         if self.mode == Mode::Down {
             return KvReply::Unavailable;
@@ -94,20 +101,21 @@
             }
             KvCall::Swap { key, revision, value } => {
                 self.writes += 1;
-                let found = self.values.get(key).map_or(0, |(_, r)| *r);
-                let applies = (found == *revision).then(|| {
+                let current = self.values.get(key).map_or(0, |(_, r)| *r);
+                let written = (current == *revision).then(|| {
                     self.put(key, value.clone());
                     self.revision
                 });
                 match self.mode {
                     Mode::LoseReplies => KvReply::Unavailable,
-                    _ => KvReply::Swapped(applies),
+                    _ => KvReply::Swapped(written),
                 }
             }
         }
     }
 }
 
+/// Content of a queue entry. Items of a router carry its index and generation.
 #[derive(Debug)]
 enum Item<I> {
     Tick(usize, u64),
@@ -116,6 +124,7 @@
     Scheduled(I),
 }
 
+/// Entry of the queue, ordered by time and then by sequence number.
 #[derive(Debug)]
 struct Entry<I> {
     at: Time,
@@ -143,41 +152,47 @@
     }
 }
 
+/// Host with one router, which can be killed and started again.
 #[derive(Debug)]
 struct Host {
     router: Option<Router>,
-    /// Number of this generation; events for an earlier one find nobody.
+    /// Increases when a router is started or killed. Items of earlier generations are dropped.
     generation: u64,
     paused: bool,
+    /// Events that arrived during a pause.
     deferred: Vec<Event>,
+    /// Index of its failure domain.
     domain: usize,
 }
 
-/// What the owner of the network has to see to.
+/// Step of the simulation that the user of the network has to perform.
 #[derive(Debug)]
 pub enum Step<I> {
-    /// An item of its own is due.
+    /// An item that the user scheduled is due.
     Scheduled(I),
-    /// A router did this towards callers and upstreams.
+    /// Actions of the router with this index towards callers and upstreams.
     Actions(usize, Vec<Action>),
 }
 
-/// Routers and what lies between them.
+/// Routers, the connections between them and the key-value service.
+///
+/// Routers are given by their indices, in the order in which they were added.
 #[derive(Debug)]
 pub struct Network<I> {
     /// Current time.
     pub now: Time,
     /// The key-value service.
     pub store: Store,
-    /// Pairs of routers that can't reach each other.
+    /// Pairs of a sender and a receiver whose messages are blocked.
     pub unreachable: BTreeSet<(usize, usize)>,
-    /// Connections, from one router to another, that have fallen silent; a new one works.
+    /// Pairs of a sender and a receiver whose connection drops all messages until the sender
+    /// reconnects.
     pub silent: BTreeSet<(usize, usize)>,
-    /// Of every so many messages between routers, one is lost; 0 for none.
+    /// Number of messages between routers of which the last is lost; 0 if none is.
     pub drop_every: u64,
-    /// Bytes and messages that routers sent each other.
+    /// Number of bytes and of messages that routers sent each other.
     pub traffic: (u64, u64),
-    /// Log lines of routers.
+    /// Log lines of routers, with their times and the routers' indices.
     pub log: Vec<(Time, usize, String)>,
     between_domains: Span,
     hosts: Vec<Host>,
@@ -186,12 +201,12 @@
     sent: u64,
 }
 
-/// Peer address of the router with this index.
+/// Returns the peer address of a router.
 pub fn peer_address(i: usize) -> String {
     format!("10.0.0.1:{}", 1000 + i)
 }
 
-/// Settings of the router with this index.
+/// Returns the settings of a router.
 pub fn settings(i: usize, domain: &str, incarnation: u64, seed: u64) -> Settings {
     Settings {
         name: format!("r{i}"),
@@ -206,7 +221,8 @@
 }
 
 impl<I> Network<I> {
-    /// A network without routers.
+    /// Creates a network without routers. `between_domains` is the time that a message takes
+    /// between failure domains.
     pub fn new(between_domains: Span) -> Network<I> {
         Network {
             now: Time(1_000_000),
@@ -229,18 +245,19 @@
         self.queue.push(Reverse(Entry { at, sequence: self.sequence, item }));
     }
 
-    /// Schedules an item of the owner's.
+    /// Schedules an item of the user.
     pub fn schedule(&mut self, after: Span, item: I) {
         self.push(self.now + after, Item::Scheduled(item));
     }
 
-    /// Schedules an event for a router.
+    /// Schedules an event for a router. It is dropped if the router is killed or restarted before.
     pub fn schedule_event(&mut self, after: Span, router: usize, event: Event) {
         let generation = self.hosts[router].generation;
         self.push(self.now + after, Item::Event(router, generation, Box::new(event)));
     }
 
-    /// Adds a router in the domain with this index and starts it; returns its index.
+    /// Adds a host with a running router in the failure domain with this index, and returns the
+    /// router's index.
     pub fn add(&mut self, router: Router, domain: usize) -> usize {
         let index = self.hosts.len();
         let host =
@@ -250,7 +267,7 @@
         index
     }
 
-    /// Starts a router in a host that has none.
+    /// Starts a router on a host that has none.
     pub fn start(&mut self, index: usize, router: Router) {
         let host = &mut self.hosts[index];
         host.router = Some(router);
@@ -258,23 +275,23 @@
         host.deferred.clear();
         host.paused = false;
         let generation = host.generation;
-        // Ticks of different routers do not fall together.
+        // Routers tick at different times.
         let offset = Span(index as u64 * 1_000 % TICK.0);
         self.push(self.now + offset, Item::Tick(index, generation));
     }
 
-    /// Kills a router without a word.
+    /// Kills a router without notice to its peers.
     pub fn kill(&mut self, index: usize) {
         self.hosts[index].router = None;
         self.hosts[index].generation += 1;
     }
 
-    /// Freezes a router; what arrives meanwhile is deferred.
+    /// Pauses a router. Events that arrive during the pause are deferred; ticks are dropped.
     pub fn pause(&mut self, index: usize) {
         self.hosts[index].paused = true;
     }
 
-    /// Lets a frozen router go on; what was deferred arrives at once.
+    /// Resumes a paused router; deferred events arrive at once.
     pub fn resume(&mut self, index: usize) {
         self.hosts[index].paused = false;
         for event in std::mem::take(&mut self.hosts[index].deferred) {
@@ -282,7 +299,7 @@
         }
     }
 
-    /// Cuts all routers of `side` off from the others.
+    /// Blocks all messages between the routers of `side` and the others.
     pub fn partition(&mut self, side: &[usize]) {
         for a in 0..self.hosts.len() {
             for b in 0..self.hosts.len() {
@@ -293,12 +310,12 @@
         }
     }
 
-    /// Whether a router runs.
+    /// Whether a router is running, paused or not.
     pub fn is_running(&self, index: usize) -> bool {
         self.hosts[index].router.is_some()
     }
 
-    /// Number of hosts.
+    /// Returns the number of hosts.
     pub fn len(&self) -> usize {
         self.hosts.len()
     }
@@ -308,7 +325,7 @@
         self.hosts.is_empty()
     }
 
-    /// The node of a host, if one runs there.
+    /// Returns the node of a host, if one is running there.
     pub fn node(&self, index: usize) -> Option<&Node> {
         match self.hosts[index].router.as_ref()? {
             Router::Node(node) => Some(node),
@@ -316,7 +333,7 @@
         }
     }
 
-    /// The node of a host for changes.
+    /// Returns the node of a host for changes, if one is running there.
     pub fn node_mut(&mut self, index: usize) -> Option<&mut Node> {
         match self.hosts[index].router.as_mut()? {
             Router::Node(node) => Some(node),
@@ -324,7 +341,7 @@
         }
     }
 
-    /// Gives a router an event now; returns what it does towards callers and upstreams.
+    /// Handles an event at a router and returns its actions towards callers and upstreams.
     pub fn handle(&mut self, index: usize, event: Event) -> Vec<Action> {
         let now = self.now;
         let host = &mut self.hosts[index];
@@ -342,7 +359,8 @@
         actions.into_iter().filter_map(|a| self.transmit(index, a)).collect()
     }
 
-    /// Carries what goes to peers and the service; the rest is the owner's.
+    /// Performs an action towards peers, the service or the log; returns any other action, and
+    /// also an exit.
     fn transmit(&mut self, from: usize, action: Action) -> Option<Action> {
         match action {
             Action::Send { address, message } => {
@@ -374,10 +392,12 @@
         }
     }
 
+    /// Returns the index of the router with this peer address.
     fn router_at(&self, address: &str) -> Option<usize> {
         (0..self.hosts.len()).find(|i| peer_address(*i) == address)
     }
 
+    /// Sends a message to a peer, unless it is lost or blocked.
     fn send(&mut self, from: usize, address: &str, message: laburnumwheel_core::peer::Message) {
         let bytes = codec::encode_message(&message).map_or(0, |b| b.len() as u64);
         self.traffic.0 += bytes;
@@ -398,13 +418,13 @@
             own.map_or((String::new(), 0), |r| (r.name.clone(), r.incarnation));
         let same = self.hosts[from].domain == self.hosts[to].domain;
         let delay = if same { Span(100) } else { self.between_domains };
-        // A message on the wire reaches whatever runs at the address when it arrives.
+        // A message can reach only the router that runs at the address when it is sent.
         let generation = self.hosts[to].generation;
         let event = Event::Peer { from: name, incarnation, message };
         self.push(self.now + delay, Item::Event(to, generation, Box::new(event)));
     }
 
-    /// Goes on to the next thing the owner has to see to, at most until `until`.
+    /// Runs until the next step that the user has to perform, at most until the time `until`.
     pub fn next(&mut self, until: Time) -> Option<Step<I>> {
         loop {
             if self.queue.peek().is_none_or(|Reverse(t)| t.at > until) {
--- a/replay/src/simulation.rs
+++ b/replay/src/simulation.rs
@@ -1,4 +1,9 @@
-//! A replay: routers, callers, engines and services of a site in virtual time.
+//! Simulates the routers, callers, engines and services of a site in virtual time.
+//!
+//! Everything that happens is an item in the queue of the [`Network`]: items run in the order of
+//! their times, those of the same time in the order in which they were scheduled. All random
+//! choices come from seeded generators, so that the same trace, faults and seed give the same
+//! results.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -41,86 +46,91 @@
 mod faults;
 mod upstreams;
 
-/// Routers find each other before the trace begins.
+/// Time before the trace begins, in which the routers discover each other.
 const WARM_UP: Span = Span::secs(5);
-/// Time after the trace for everything to end.
+/// Time after the trace in which the remaining requests end.
 const COOL_DOWN: Span = Span::secs(90);
-const REPORT_EVERY: Span = Span::millis(500);
+/// Interval between load reports.
+const REPORT_INTERVAL: Span = Span::millis(500);
 
-/// Which routers a replay runs.
+/// Kind of router that a simulation runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Policy {
-    /// The core.
+    /// A node of the router's core.
     Core,
-    /// A baseline.
+    /// A baseline of this kind.
     Baseline(baseline::Kind),
 }
 
-/// A fault of a replay, at a time of the trace.
+/// Fault that is injected at a time of the trace.
+///
+/// Upstreams and routers are given by their indices.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// An engine's step takes so many times longer.
+    /// The steps of an engine take longer.
     Straggler {
         /// Upstream.
         upstream: usize,
-        /// Factor.
+        /// Multiplier of the step's duration.
         factor: u64,
     },
-    /// An upstream breaks all connections and is gone.
+    /// An upstream breaks all its connections and accepts no new ones.
     Crash {
         /// Upstream.
         upstream: usize,
     },
-    /// An upstream refuses new work, finishes what it runs, and exits.
+    /// An upstream refuses new work, finishes its running work and exits.
     Stop {
         /// Upstream.
         upstream: usize,
     },
-    /// Load reports repeat the last one for so long.
+    /// Load reports repeat the current one for this time.
     FreezeReports(Span),
-    /// Connections between all routers and an upstream go silent; new ones work.
+    /// Existing connections between routers and an upstream go silent; new ones work.
     Silence {
         /// Upstream.
         upstream: usize,
     },
-    /// A router is gone without a word.
+    /// A router disappears without notice.
     LoseRouter {
         /// Router.
         router: usize,
     },
-    /// A router begins a planned stop.
+    /// A planned stop of a router begins.
     StopRouter {
         /// Router.
         router: usize,
     },
-    /// The key-value service is out for so long.
+    /// The key-value service is unavailable for this time.
     Outage(Span),
 }
 
-/// What happens besides the sending of requests.
+/// Scheduled item of the simulation.
+///
+/// Routers, upstreams, records of the trace and faults are given by their indices.
 #[derive(Debug)]
 pub enum Item {
-    /// The caller of a record sends it.
+    /// The caller of a record submits its request.
     Submit(usize),
-    /// A try arrives at an upstream.
+    /// An attempt of a router arrives at an upstream.
     Arrive(usize, usize, Box<Dispatch>),
-    /// A stop of a try arrives at an upstream.
+    /// The cancellation of an attempt arrives at an upstream.
     Cancel(usize, AttemptKey),
-    /// An engine's step is over.
+    /// An engine completes a step.
     Step(usize),
-    /// A call at a service is over.
+    /// A service completes the call of an attempt and a record.
     Complete(usize, AttemptKey, usize),
-    /// Part of an answer reaches its caller.
+    /// Part of an answer arrives at its caller.
     Deliver(usize, RequestId, Bytes),
-    /// The end reaches its caller.
+    /// The outcome of a request arrives at its caller.
     Finish(usize, RequestId, Outcome),
-    /// A caller's patience is over.
+    /// The patience of a record's caller ends.
     TimeOut(usize),
-    /// Load reports are taken.
+    /// The upstreams report their loads.
     Report,
-    /// A fault happens.
+    /// A fault is injected.
     Fault(usize),
-    /// The host list names an upstream as leaving.
+    /// The platform's host list marks an upstream as leaving.
     ListLeaving(usize),
     /// An outage of the key-value service ends.
     EndOutage,
@@ -132,48 +142,49 @@
     Service(Service),
 }
 
+/// Entry answer that a caller keeps for its time to live.
 #[derive(Debug)]
 struct CachedAnswer {
-    /// Routers in order, with the key prefix of each.
+    /// Routers in order of preference, each with its idempotency key prefix.
     addresses: Vec<(usize, String)>,
-    until: Time,
+    expires_at: Time,
 }
 
-/// Results of a replay.
+/// Results of a simulation.
 #[derive(Clone, Debug)]
 pub struct Results {
-    /// By class.
+    /// Tally of each class, in the order of the site's classes.
     pub tallies: Vec<Tally>,
-    /// Promises broken.
+    /// Numbers of violated guarantees.
     pub broken: Broken,
-    /// Tokens generated by engines.
+    /// Tokens that the engines generated.
     pub generated: u64,
-    /// Tokens in whole answers.
+    /// Tokens in complete answers.
     pub goodput: u64,
-    /// Tokens of the best that the engines could do.
+    /// Upper bound on the tokens that the engines could have generated for the trace.
     pub max_goodput: u64,
-    /// Counters of the core's routers, added up where that has a meaning.
+    /// Counters of each running router; empty for baselines.
     pub stats: Vec<Stats>,
-    /// Reads of and writes to the key-value service.
+    /// Reads and writes at the key-value service.
     pub kv_calls: (u64, u64),
-    /// Bytes that routers sent each other, a second and router.
+    /// Bytes that each router sent to other routers per second, on average.
     pub peer_bytes_per_second: f64,
 }
 
 impl Results {
-    /// Tokens generated for answers that nobody got whole, in percent of all generated.
+    /// Share of the generated tokens that were in no complete answer, in percent.
     pub fn wasted_percent(&self) -> f64 {
         let wasted = self.generated.saturating_sub(self.goodput);
         100.0 * wasted as f64 / self.generated.max(1) as f64
     }
 
-    /// Goodput against the best possible, in percent.
+    /// Goodput relative to its upper bound, in percent.
     pub fn goodput_percent(&self) -> f64 {
         100.0 * self.goodput as f64 / self.max_goodput.max(1) as f64
     }
 }
 
-/// A replay in progress.
+/// Simulation in progress.
 pub struct Simulation<'a> {
     site: &'a Site,
     trace: &'a [Record],
@@ -198,11 +209,11 @@
     rng: StdRng,
 }
 
-/// Runs a trace and returns the results.
+/// Runs a trace with faults at their times in milliseconds of the trace, and returns the results.
 ///
 /// # Errors
 ///
-/// [`Error::Config`] if the site makes no valid configuration.
+/// [`Error::Config`] if the site's configuration is invalid.
 pub fn run(
     site: &Site,
     trace: &[Record],
@@ -295,7 +306,7 @@
             self.faults.push(*fault);
             self.network.schedule(WARM_UP + Span::millis(*at_ms), Item::Fault(number));
         }
-        self.network.schedule(REPORT_EVERY, Item::Report);
+        self.network.schedule(REPORT_INTERVAL, Item::Report);
     }
 
     fn process(&mut self, item: Item) {
--- a/replay/src/simulation/bound.rs
+++ b/replay/src/simulation/bound.rs
@@ -1,13 +1,16 @@
-//! The best that engines could do on a trace.
+//! Upper bound on the goodput of a trace.
 
 use std::collections::BTreeMap;
 
 use crate::site::Site;
 use crate::trace::Record;
 
-/// Output tokens of the best that the engines could do: one queue before all slots, no step ever
-/// empty while work waits, and work dropped only when the longest patience is over.
+/// Returns an upper bound on the output tokens that the engines can generate for a trace.
+///
+/// The bound assumes one queue for all slots of a group, no idle slot while requests wait, and
+/// requests that are dropped only when the longest patience of the group's classes ends.
 pub fn max_goodput(site: &Site, trace: &[Record]) -> u64 {
+    /// Resolution of the computation.
     const SLICE_MS: u64 = 10;
     let mut total = 0.0;
     for group in site.group.iter().filter(|g| g.model.is_some()) {
--- a/replay/src/simulation/callers.rs
+++ b/replay/src/simulation/callers.rs
@@ -1,4 +1,4 @@
-//! The callers' side of a replay.
+//! Callers of a simulation: submission of requests, receipt of answers, patience.
 
 use bytes::Bytes;
 use laburnumwheel_core::action::Outcome;
@@ -15,20 +15,24 @@
 use crate::caller::Call;
 use crate::caller::End;
 
-/// A caller leaves when its class's patience is over; an answer under way then still counts.
-const CALLER_EXTRA: Span = Span::millis(500);
+/// Time after the end of its class's patience at which a caller leaves. An answer that is on its
+/// way when the patience ends still counts.
+const PATIENCE_EXTENSION: Span = Span::millis(500);
 
 impl Simulation<'_> {
-    /// The routers a caller may use, by an entry answer that it keeps for its time to live.
+    /// Chooses the router for a record's request and returns its idempotency key prefix.
+    ///
+    /// The caller uses the first running router of its cached entry answer. When the answer has
+    /// expired or names no running router, it queries a random running router for a new one.
     pub(super) fn router_for(&mut self, record: usize) -> Option<(usize, String)> {
         let organisation = self.trace[record].organisation;
         let caller = record % self.site.callers[organisation];
-        let kept = self.entry_answers.get(&(organisation, caller));
-        let kept = kept.filter(|k| k.until > self.network.now);
-        let kept = kept
+        let cached = self.entry_answers.get(&(organisation, caller));
+        let cached = cached.filter(|c| c.expires_at > self.network.now);
+        let cached = cached
             .and_then(|k| k.addresses.iter().find(|(r, _)| self.network.is_running(*r)).cloned());
-        if kept.is_some() {
-            return kept;
+        if cached.is_some() {
+            return cached;
         }
         let up: Vec<usize> =
             (0..self.network.len()).filter(|r| self.network.is_running(*r)).collect();
@@ -43,12 +47,13 @@
         let addresses = answer.addresses.iter();
         let addresses = addresses.filter_map(|a| Some((number(&a.address)?, a.key_prefix.clone())));
         let addresses: Vec<_> = addresses.collect();
-        let until = now + Span::millis(answer.ttl_ms);
+        let expires_at = now + Span::millis(answer.ttl_ms);
         let first = addresses.iter().find(|(r, _)| self.network.is_running(*r)).cloned();
-        self.entry_answers.insert((organisation, caller), CachedAnswer { addresses, until });
+        self.entry_answers.insert((organisation, caller), CachedAnswer { addresses, expires_at });
         first
     }
 
+    /// Submits a record's request; a repeated submission keeps its idempotency key.
     pub(super) fn submit(&mut self, record: usize) {
         let Some((router, prefix)) = self.router_for(record) else {
             self.network.schedule(Span::millis(100), Item::Submit(record));
@@ -56,13 +61,13 @@
         };
         let r = self.trace[record];
         let class = &self.site.class[r.class];
-        let old = self.calls[record].take();
+        let previous = self.calls[record].take();
         let first_key = (class.once && !prefix.is_empty()).then(|| format!("{prefix}{record}"));
-        let key = old.as_ref().and_then(|c| c.key.clone()).or(first_key);
+        let key = previous.as_ref().and_then(|c| c.key.clone()).or(first_key);
         let request = RequestId(self.next_request);
         self.next_request += 1;
-        let sent = old.as_ref().map_or(self.network.now, |c| c.sent);
-        let submissions = old.map_or(1, |c| c.submissions + 1);
+        let sent = previous.as_ref().map_or(self.network.now, |c| c.sent);
+        let submissions = previous.map_or(1, |c| c.submissions + 1);
         let call = Call {
             router,
             request,
@@ -100,11 +105,12 @@
         let delay = Span(self.site.to_callers_us);
         self.network.schedule_event(delay, router, event);
         if submissions == 1 {
-            let patience = Span::millis(class.patience_ms) + CALLER_EXTRA;
+            let patience = Span::millis(class.patience_ms) + PATIENCE_EXTENSION;
             self.network.schedule(patience, Item::TimeOut(record));
         }
     }
 
+    /// Returns the record and the call of a request, unless the call ended or was submitted again.
     pub(super) fn open_call(
         &mut self,
         router: usize,
@@ -116,6 +122,9 @@
         current.then_some((record, call))
     }
 
+    /// Receives part of an answer and checks that its tokens are the call's next ones.
+    ///
+    /// Engines write the record and the index of each token into its text.
     pub(super) fn receive_tokens(&mut self, router: usize, request: RequestId, text: &Bytes) {
         let now = self.network.now;
         let Some((record, call)) = self.open_call(router, request) else {
@@ -135,6 +144,7 @@
         self.broken.doubled += doubled;
     }
 
+    /// Receives the outcome of a request.
     pub(super) fn receive_end(&mut self, router: usize, request: RequestId, outcome: &Outcome) {
         let now = self.network.now;
         let Some((record, call)) = self.open_call(router, request) else {
@@ -156,6 +166,7 @@
         }
     }
 
+    /// Ends a call whose patience is over, unless part of the answer arrived.
     pub(super) fn time_out(&mut self, record: usize) {
         let now = self.network.now;
         let Some(call) = self.calls[record].as_mut() else {
@@ -173,8 +184,10 @@
         );
     }
 
-    /// Callers of a router that is gone see their connections break. They try another address
-    /// once if no part of an answer came: a repeated request is safe under its key, or idempotent.
+    /// Breaks the connections of the callers of a router.
+    ///
+    /// A caller that received no part of its answer submits the request once more, possibly to
+    /// another router. That is safe, as each request is idempotent or has an idempotency key.
     pub(super) fn break_connections(&mut self, router: usize) {
         let now = self.network.now;
         for record in 0..self.calls.len() {
--- a/replay/src/simulation/faults.rs
+++ b/replay/src/simulation/faults.rs
@@ -1,4 +1,4 @@
-//! The faults of a replay.
+//! Injection of faults into a simulation.
 
 use laburnumwheel_core::event::Event;
 use laburnumwheel_core::event::Failure;
@@ -11,10 +11,11 @@
 use crate::fake::AttemptKey;
 use crate::network;
 
-/// The platform's host list lags by this much.
+/// Delay with which the platform's host list marks a stopping upstream as leaving.
 const HOST_LIST_LAG: Span = Span::secs(2);
 
 impl Simulation<'_> {
+    /// Injects a fault.
     pub(super) fn inject(&mut self, fault: Fault) {
         match fault {
             Fault::Straggler { upstream, factor } => {
@@ -59,6 +60,7 @@
         }
     }
 
+    /// Crashes an upstream and breaks its open attempts.
     pub(super) fn crash(&mut self, upstream: usize) {
         match &mut self.upstreams[upstream] {
             Upstream::Engine(engine) => {
--- a/replay/src/simulation/upstreams.rs
+++ b/replay/src/simulation/upstreams.rs
@@ -1,4 +1,4 @@
-//! The upstreams' side of a replay.
+//! Upstreams of a simulation: arrival and execution of attempts, load reports.
 
 use bytes::Bytes;
 use laburnumwheel_core::action::Dispatch;
@@ -10,25 +10,27 @@
 
 use super::Item;
 use super::Policy;
-use super::REPORT_EVERY;
+use super::REPORT_INTERVAL;
 use super::Simulation;
 use super::Upstream;
 use crate::fake::AttemptKey;
 use crate::fake::Job;
 use crate::fake::Output;
 
-/// One cache event in so many is lost.
-const CACHE_LOSS: u32 = 20;
-/// A refused connection comes back after this long.
-const CONNECT_ERROR: Span = Span::millis(1);
+/// Average number of cache events of which one is lost.
+const CACHE_LOSS_INTERVAL: u32 = 20;
+/// Time until a router learns that its connection was refused.
+const CONNECTION_REFUSED_DELAY: Span = Span::millis(1);
 
 impl Simulation<'_> {
+    /// Ends an attempt with a failure.
     pub(super) fn fail(&mut self, upstream: usize, id: AttemptKey, failure: Failure) {
         self.open_attempts.remove(&id);
         let delay = self.delay(id.0, upstream);
         self.network.schedule_event(delay, id.0, Event::Failed(id.1, failure));
     }
 
+    /// Starts an attempt that arrived at its upstream, or fails it.
     pub(super) fn arrive(&mut self, router: usize, upstream: usize, dispatch: Dispatch) {
         let id = (router, dispatch.attempt);
         if !self.open_attempts.contains_key(&id) {
@@ -44,7 +46,7 @@
         };
         if crashed {
             self.network.schedule_event(
-                CONNECT_ERROR,
+                CONNECTION_REFUSED_DELAY,
                 router,
                 Event::Failed(id.1, Failure::Connect),
             );
@@ -67,8 +69,8 @@
                 };
                 engine.submit(id, job);
                 let step = engine.step;
-                // A stopped try can leave an engine empty with its next step still to come; a
-                // second chain of steps would make it twice as fast.
+                // After a cancellation an engine can be empty with its next step still scheduled.
+                // A second chain of steps would make it twice as fast.
                 if !std::mem::replace(&mut engine.stepping, true) {
                     self.network.schedule(step, Item::Step(upstream));
                 }
@@ -82,12 +84,14 @@
         }
     }
 
+    /// Cancels an attempt at an engine; services complete their calls.
     pub(super) fn cancel_attempt(&mut self, upstream: usize, id: AttemptKey) {
         if let Upstream::Engine(engine) = &mut self.upstreams[upstream] {
             engine.cancel(id);
         }
     }
 
+    /// Runs a step of an engine. A leaving engine exits when it has no more work.
     pub(super) fn step(&mut self, upstream: usize) {
         let Upstream::Engine(engine) = &mut self.upstreams[upstream] else {
             return;
@@ -108,6 +112,7 @@
         }
     }
 
+    /// Sends an engine's output to the router, unless the connection is silent.
     pub(super) fn output(&mut self, upstream: usize, output: Output) {
         let (Output::Token(id, ..) | Output::Done(id, _)) = output;
         if self.silent_attempts.contains(&id) {
@@ -130,6 +135,7 @@
         self.network.schedule_event(delay, router, event);
     }
 
+    /// Completes a call at a service.
     pub(super) fn complete(&mut self, upstream: usize, id: AttemptKey, _record: usize) {
         if let Upstream::Service(service) = &mut self.upstreams[upstream] {
             service.end();
@@ -146,6 +152,7 @@
         }
     }
 
+    /// Returns the current loads of all upstreams.
     pub(super) fn loads(&self) -> Vec<Load> {
         let load = |u: &Upstream| match u {
             Upstream::Engine(e) => e.load(),
@@ -154,8 +161,11 @@
         self.upstreams.iter().map(load).collect()
     }
 
+    /// Sends load reports and cache events of all running upstreams to all routers.
+    ///
+    /// Baselines get none.
     pub(super) fn report(&mut self) {
-        self.network.schedule(REPORT_EVERY, Item::Report);
+        self.network.schedule(REPORT_INTERVAL, Item::Report);
         if self.policy != Policy::Core {
             return;
         }
@@ -163,15 +173,15 @@
         let frozen = self.frozen_reports.as_ref().filter(|(until, _)| self.network.now < *until);
         let loads = frozen.map_or_else(|| self.loads(), |(_, loads)| loads.clone());
         for (i, load) in loads.into_iter().enumerate() {
-            let (gone, added) = match &mut self.upstreams[i] {
+            let (crashed, added) = match &mut self.upstreams[i] {
                 Upstream::Engine(e) => (e.crashed, e.take_added_prefixes()),
                 Upstream::Service(s) => (s.crashed, Vec::new()),
             };
-            if gone {
+            if crashed {
                 continue;
             }
             self.cache_sequence[i] += 1;
-            let lost = self.rng.random_range(0..CACHE_LOSS) == 0;
+            let lost = self.rng.random_range(0..CACHE_LOSS_INTERVAL) == 0;
             for router in 0..self.network.len() {
                 let load = Load { age: lag.0, ..load };
                 self.network.schedule_event(
