--- a/core/src/node/attempt.rs
+++ b/core/src/node/attempt.rs
@@ -2,7 +2,7 @@
 //!
 //! A failed request is retried at another upstream if it cannot have run or is idempotent, within
 //! the retry budget; otherwise it ends with a refusal that states whether it may have run. A stream
-//! resumes behind the tokens that were already delivered, so that no token is delivered twice.
+//! resumes after the tokens that were already delivered, so that no token is delivered twice.
 
 use bytes::Bytes;
 
--- a/core/src/node/orders.rs
+++ b/core/src/node/orders.rs
@@ -56,15 +56,15 @@
         }
     }
 
-    /// Names and addresses of the group's upstreams that report another deployment than `wanted`.
-    fn outdated(&self, group: GroupKey, wanted: &Deployment) -> Vec<(String, String)> {
+    /// Names and addresses of the group's upstreams that report another deployment than `desired`.
+    fn outdated(&self, group: GroupKey, desired: &Deployment) -> Vec<(String, String)> {
         let (Some(state), Some(orders)) = (self.groups.get(&group), self.orders.get(&group)) else {
             return Vec::new();
         };
         let members = state.pool.members.iter().filter_map(|k| self.upstreams.get(*k));
         let present = members.filter(|u| !u.removed && !u.leaving);
         let outdated =
-            present.filter(|u| orders.reported.get(&u.name).is_some_and(|d| d != wanted));
+            present.filter(|u| orders.reported.get(&u.name).is_some_and(|d| d != desired));
         outdated.map(|u| (u.name.clone(), u.address.clone())).collect()
     }
 
@@ -82,17 +82,17 @@
         let groups: Vec<GroupKey> = self.orders.keys().copied().collect();
         for group in groups {
             let rules = self.index.group(group);
-            let (name, wanted, checks_fencing) =
+            let (name, desired, checks_fencing) =
                 (rules.name.clone(), rules.deployment.clone(), rules.checks_fencing);
-            if wanted == Deployment::default() || !self.is_candidate(&name) {
+            if desired == Deployment::default() || !self.is_candidate(&name) {
                 continue;
             }
-            let outdated = self.outdated(group, &wanted);
+            let outdated = self.outdated(group, &desired);
             if outdated.is_empty() {
                 continue;
             }
             self.advance_lease(now, group, &name, checks_fencing);
-            self.send_orders(now, group, &wanted, outdated);
+            self.send_orders(now, group, &desired, outdated);
         }
     }
 
@@ -104,10 +104,10 @@
         let key = format!("{LEASE_PREFIX}{name}");
         match orders.lease.next_step(now, &home, checks_fencing) {
             Step::Wait => {}
-            Step::Read => self.get(&key),
+            Step::Read => self.read_kv(&key),
             Step::Write(revision, value) => {
                 if let Ok(value) = serde_json::to_vec(&value) {
-                    self.kv(KvCall::Swap { key, revision, value: Bytes::from(value) });
+                    self.call_kv(KvCall::Swap { key, revision, value: Bytes::from(value) });
                 }
             }
         }
@@ -117,7 +117,7 @@
         &mut self,
         now: Time,
         group: GroupKey,
-        wanted: &Deployment,
+        desired: &Deployment,
         outdated: Vec<(String, String)>,
     ) {
         let Some(orders) = self.orders.get_mut(&group) else {
@@ -137,7 +137,7 @@
             orders.sent.insert(upstream.clone(), now);
             let line = Line::new("order").with("upstream", &upstream).with("fence", fence);
             self.out.push(Action::Log(line));
-            let deployment = wanted.clone();
+            let deployment = desired.clone();
             self.out.push(Action::Order(Order { upstream, address, fence, deployment }));
         }
     }
--- a/core/src/node/peers.rs
+++ b/core/src/node/peers.rs
@@ -86,7 +86,7 @@
             Message::Demand(demand) => self.on_demand(now, from, demand),
             Message::AskRoot { have } => {
                 let change = self.sync.change_since(have);
-                self.reply(from, Message::Root(change));
+                self.send_to(from, Message::Root(change));
             }
             Message::Root(change) => self.on_root(now, from, &change),
             Message::AskShards(hashes) => self.on_ask_shards(from, &hashes),
@@ -103,8 +103,8 @@
         }
     }
 
-    /// Sends a message to the router with the name `to`, if it is known.
-    pub(super) fn reply(&mut self, to: &str, message: Message) {
+    /// Sends a message to the router with this name, if it is known.
+    pub(super) fn send_to(&mut self, to: &str, message: Message) {
         if let Some(address) = self.members.get(to).map(|r| r.peer_address.clone()) {
             self.send(address, message);
         }
@@ -122,6 +122,6 @@
             let name = home.clone();
             self.members.update(&mut self.rng, &mut self.out, |own| own.adopted.push(name));
         }
-        self.reply(from, Message::TableTaken(home));
+        self.send_to(from, Message::TableTaken(home));
     }
 }
--- a/core/src/node/request.rs
+++ b/core/src/node/request.rs
@@ -2,8 +2,8 @@
 //!
 //! A request is resolved to its class, organisation and group, checked against the queue and the
 //! organisation's limit, and queued until it is dispatched. Each request ends exactly once, with a
-//! whole answer or with a refusal that states whether it may have run. Only requests of callers
-//! who have gone end without an answer.
+//! whole answer or with a refusal that states whether it may have run. Only requests of
+//! disconnected callers end without an answer.
 
 use bytes::Bytes;
 
--- a/core/src/node/service.rs
+++ b/core/src/node/service.rs
@@ -34,13 +34,14 @@
 impl Node {
     /// A random pause with a mean of `interval` times the number of live routers, exponentially
     /// distributed so that routers do not synchronise.
-    pub(super) fn pause(&mut self, interval: Span) -> Span {
+    pub(super) fn random_pause(&mut self, interval: Span) -> Span {
         let routers = self.members.live().count() as f64 + 1.0;
         let unit: f64 = self.rng.random();
         Span::from_secs_f64(interval.as_secs_f64() * routers * -(1.0 - unit).ln())
     }
 
-    pub(super) fn kv(&mut self, call: KvCall) {
+    /// Calls the key-value service and counts the call.
+    pub(super) fn call_kv(&mut self, call: KvCall) {
         match call {
             KvCall::Get { .. } => self.stats.kv_reads += 1,
             KvCall::Swap { .. } => self.stats.kv_writes += 1,
@@ -48,8 +49,9 @@
         self.out.push(Action::Kv(call));
     }
 
-    pub(super) fn get(&mut self, key: &str) {
-        self.kv(KvCall::Get { key: key.to_owned() });
+    /// Reads a key from the key-value service.
+    pub(super) fn read_kv(&mut self, key: &str) {
+        self.call_kv(KvCall::Get { key: key.to_owned() });
     }
 
     pub(super) fn tick_key_value(&mut self, now: Time) {
@@ -57,16 +59,16 @@
             return;
         }
         if now >= self.control.root {
-            self.control.root = now + self.pause(ROOT_READ_INTERVAL);
-            self.get(ROOT_KEY);
+            self.control.root = now + self.random_pause(ROOT_READ_INTERVAL);
+            self.read_kv(ROOT_KEY);
         }
         if now >= self.control.hosts {
-            self.control.hosts = now + self.pause(HOSTS_READ_INTERVAL);
-            self.get(LEAVING_HOSTS_KEY);
+            self.control.hosts = now + self.random_pause(HOSTS_READ_INTERVAL);
+            self.read_kv(LEAVING_HOSTS_KEY);
         }
         if now >= self.control.roster {
-            self.control.roster = now + self.pause(ROSTER_READ_INTERVAL);
-            self.get(ROSTER_KEY);
+            self.control.roster = now + self.random_pause(ROSTER_READ_INTERVAL);
+            self.read_kv(ROSTER_KEY);
         }
     }
 
@@ -102,7 +104,7 @@
                 {
                     let missing = self.sync.missing_shards();
                     for hash in missing {
-                        self.get(&format!("{SHARD_PREFIX}{hash}"));
+                        self.read_kv(&format!("{SHARD_PREFIX}{hash}"));
                     }
                     self.step_sync(now);
                 }
@@ -149,7 +151,7 @@
         }
         if let Ok(value) = serde_json::to_vec(&live) {
             let (key, value) = (ROSTER_KEY.to_owned(), Bytes::from(value));
-            self.kv(KvCall::Swap { key, revision, value });
+            self.call_kv(KvCall::Swap { key, revision, value });
         }
     }
 }
--- a/core/src/node/versions.rs
+++ b/core/src/node/versions.rs
@@ -29,7 +29,7 @@
         }
         if gossip.version > self.sync.newest_version() {
             let have = self.sync.root().version;
-            self.reply(from, Message::AskRoot { have });
+            self.send_to(from, Message::AskRoot { have });
             self.control.ask = now + SHARD_RETRY;
         }
     }
@@ -52,10 +52,10 @@
         let live: Vec<String> = self.members.live().map(|r| r.name.clone()).collect();
         let random = || live.get(self.rng.random_range(0..live.len().max(1))).cloned();
         match from.map(str::to_owned).or_else(random) {
-            Some(name) => self.reply(&name, Message::AskShards(missing)),
+            Some(name) => self.send_to(&name, Message::AskShards(missing)),
             None => {
                 for hash in missing {
-                    self.get(&format!("{SHARD_PREFIX}{hash}"));
+                    self.read_kv(&format!("{SHARD_PREFIX}{hash}"));
                 }
             }
         }
@@ -67,7 +67,7 @@
             .take(MAX_SHARDS_PER_REQUEST)
             .filter_map(|h| self.sync.find_shard(h).cloned());
         for content in found.collect::<Vec<_>>() {
-            self.reply(from, Message::Shard(content));
+            self.send_to(from, Message::Shard(content));
         }
     }
 
