--- a/router/src/driver.rs
+++ b/router/src/driver.rs
@@ -1,4 +1,7 @@
-//! The task that owns the node: it feeds events in and carries actions out.
+//! Runs the node: passes events to it and performs the actions that it returns.
+//!
+//! One task, the driver, owns the node. Other tasks send it inputs through a [`Handle`]; it handles
+//! them in the order of their arrival.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -29,44 +32,45 @@
 use crate::peer;
 use crate::upstream;
 
-/// Events waiting for the node; producers wait when it is full.
+/// Inputs queued for the node; senders wait while the queue is full.
 const INPUT_CAPACITY: usize = 4_096;
-/// Parts waiting for one caller. A caller that reads so slowly is given up, or one slow reader
-/// would hold memory without bound.
+/// Parts of a response queued for one caller. A call whose queue is full is cancelled; otherwise
+/// one slow reader would take memory without bound.
 const PART_CAPACITY: usize = 1_024;
-/// Events taken in between two looks at the clock.
+/// Inputs handled in one pass of the loop, before it checks whether a tick is due.
 const BATCH_SIZE: usize = 64;
 
-/// Part of an answer on its way to a caller.
+/// A part of the response to a caller.
 #[derive(Debug)]
 pub enum Part {
-    /// Text as it came.
+    /// A piece of the response's text.
     Text(Bytes),
-    /// The end.
+    /// The end of the response.
     End(Outcome),
 }
 
-/// A query that reads the node.
+/// A function that the driver runs on the node, with the current time.
 pub type Query = Box<dyn FnOnce(&mut Node, Time) + Send>;
 
-/// One input of the driver.
+/// An input of the driver.
 pub enum Input {
     /// An event for the node.
     Event(Event),
-    /// A caller's request and where its parts go.
+    /// A caller's request, and the channel for the parts of its response.
     Submit(RequestId, Box<Submission>, mpsc::Sender<Part>),
-    /// A query.
+    /// A query of the node's state.
     Query(Query),
 }
 
-/// A way to reach the driver.
+/// Sends inputs to the driver.
 #[derive(Clone)]
 pub struct Handle {
     inputs: mpsc::Sender<Input>,
     next: Arc<AtomicU64>,
 }
 
-/// A caller's place in the driver; dropping it tells the node that the caller has gone.
+/// Receives the response to one request; dropping it before the end tells the node that the caller
+/// has disconnected.
 pub struct Caller {
     id: RequestId,
     handle: Handle,
@@ -75,12 +79,12 @@
 }
 
 impl Caller {
-    /// Number of the request.
+    /// Returns the id of the request.
     pub fn id(&self) -> RequestId {
         self.id
     }
 
-    /// The next part; `None` if the router gave the caller up.
+    /// Returns the next part, or `None` if the router has cancelled the call or exited.
     pub async fn next(&mut self) -> Option<Part> {
         let part = self.parts.recv().await;
         self.ended |= matches!(part, None | Some(Part::End(_)));
@@ -102,13 +106,13 @@
 }
 
 impl Handle {
-    /// Gives the node an event.
+    /// Sends an event to the node.
     pub async fn send(&self, event: Event) {
-        // An error means that the driver has exited; nobody is left to tell.
+        // Fails only if the driver has exited, and then the event has no effect.
         let _ = self.inputs.send(Input::Event(event)).await;
     }
 
-    /// Submits a caller's request.
+    /// Submits a caller's request and returns the receiver of its response.
     pub async fn submit(&self, submission: Submission) -> Caller {
         let id = RequestId(self.next.fetch_add(1, Ordering::Relaxed));
         let (sender, parts) = mpsc::channel(PART_CAPACITY);
@@ -117,7 +121,7 @@
         Caller { id, handle: self.clone(), parts, ended: false }
     }
 
-    /// Asks the node; `None` after the driver has exited.
+    /// Runs `query` on the node and returns its result, or `None` if the driver has exited.
     pub async fn query<T: Send + 'static>(
         &self,
         query: impl FnOnce(&mut Node, Time) -> T + Send + 'static,
@@ -131,7 +135,7 @@
     }
 }
 
-/// The node and everything its actions need.
+/// Owns the node and performs its actions.
 pub struct Driver {
     node: Node,
     started: Instant,
@@ -146,7 +150,7 @@
 }
 
 impl Driver {
-    /// A driver for the node that `build_node` builds at the driver's time zero.
+    /// Creates a driver and its handle; `build_node` gets the driver's time at the start.
     pub fn new(
         name: String,
         build_node: impl FnOnce(Time) -> Node,
@@ -156,7 +160,7 @@
     ) -> (Driver, Handle) {
         let (sender, inputs) = mpsc::channel(INPUT_CAPACITY);
         let handle = Handle { inputs: sender, next: Arc::new(AtomicU64::new(1)) };
-        // A reserve below the first reading keeps spans before the start representable.
+        // Time starts at one second, so that times up to a second before the start exist.
         let started = Instant::now() - Duration::from_secs(1);
         let driver = Driver {
             node: build_node(Time(1_000_000)),
@@ -177,7 +181,7 @@
         Time(self.started.elapsed().as_micros() as u64)
     }
 
-    /// Runs until the node says that everything is finished.
+    /// Runs until the node returns [`Action::Exit`].
     pub async fn run(mut self) {
         let mut ticks = tokio::time::interval(Duration::from_micros(TICK.0));
         ticks.set_missed_tick_behavior(MissedTickBehavior::Skip);
@@ -210,7 +214,7 @@
         }
     }
 
-    /// Feeds one event; `true` if the process may exit.
+    /// Passes an event to the node and performs the actions; returns whether the process may exit.
     fn handle_event(&mut self, event: Event) -> bool {
         match &event {
             Event::Ended { attempt, .. } | Event::Failed(attempt, _) => {
@@ -244,7 +248,7 @@
             Action::Deliver { request, text, .. } => self.deliver_text(request, text),
             Action::Finish(id, outcome) => {
                 if let Some(caller) = self.callers.remove(&id) {
-                    // If the channel is full its end is lost, and the caller reads a broken stream.
+                    // If the queue is full, the end is lost and the caller's stream breaks off.
                     let _ = caller.try_send(Part::End(outcome));
                 }
             }
--- a/router/src/upstream.rs
+++ b/router/src/upstream.rs
@@ -1,4 +1,7 @@
-//! Calls to engines and plain services.
+//! Sends attempts, orders and requests for load reports to upstreams.
+//!
+//! Each attempt carries an id that is unique to this run of the router. The upstream repeats it, so
+//! that a response to another attempt is not taken for the response to this one.
 
 use std::time::Duration;
 
@@ -33,14 +36,14 @@
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
-/// Largest answer of a plain service.
+/// Largest response that is buffered, in bytes.
 const MAX_RESPONSE_BYTES: usize = 8 << 20;
-/// Names the attempt towards an upstream, which repeats it in its answer.
+/// Header with the id of an attempt, which the upstream repeats in its response.
 pub const REQUEST_ID_HEADER: &str = "x-request-id";
-/// An upstream that is leaving sets this header on its refusals.
+/// Header that an upstream sets on its refusals while it is leaving.
 pub const LEAVING_HEADER: &str = "x-leaving";
 
-/// Sends attempts; shares connections between them.
+/// Calls upstreams over shared connections.
 #[derive(Clone, Debug)]
 pub struct Client {
     http: legacy::Client<HttpConnector, Full<Bytes>>,
@@ -71,29 +74,29 @@
 
 /// How an attempt ended.
 enum End {
-    Whole(AttemptId, u16),
+    Complete(AttemptId, u16),
     Failed(Failure),
 }
 
 impl Client {
-    /// A client whose attempts carry `identity`, unique to this run of the router.
+    /// Creates a client whose attempts carry `identity`, which is unique to this run of the router.
     pub fn new(identity: String) -> Client {
         let mut connector = HttpConnector::new();
         connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
         connector.set_nodelay(true);
         let http = legacy::Client::builder(TokioExecutor::new())
             .pool_idle_timeout(IDLE_TIMEOUT)
-            // A call that may run once must not be sent again by the library on a stale connection.
+            // If the library resent a call after a stale connection, it could run twice.
             .retry_canceled_requests(false)
             .build(connector);
         Client { http, identity }
     }
 
-    /// Reads `path` of an upstream, for load reports.
+    /// Requests `path` from an upstream, as for a load report.
     ///
     /// # Errors
     ///
-    /// [`Failure`] if there is no answer with status 200.
+    /// Returns a [`Failure`] if there is no response with status 200.
     pub async fn get(&self, address: &str, path: &str) -> Result<Bytes, Failure> {
         let request = Request::get(format!("http://{address}{path}"))
             .body(Full::default())
@@ -105,10 +108,10 @@
         collect(response).await
     }
 
-    /// Gives an order and tells the node what came of it.
+    /// Sends an order and reports its result to the node.
     ///
-    /// The whole call is given up after the time that the core counts on: a new holder of the
-    /// lease waits as long before it orders an upstream that ignores fencing numbers.
+    /// The whole call has a timeout, for which a new holder of the lease waits before it sends
+    /// orders to an upstream that does not check fencing tokens.
     pub async fn send_order(self, order: Order, handle: Handle) {
         let limit = Duration::from_micros(MAX_ORDER_DELAY.0);
         let result = tokio::time::timeout(limit, self.post_order(&order)).await;
@@ -131,7 +134,7 @@
         }
     }
 
-    /// Runs one attempt and tells the node what came of it.
+    /// Makes one attempt and reports its result to the node.
     pub async fn run_attempt(self, dispatch: Dispatch, handle: Handle) {
         let attempt = dispatch.attempt;
         let end = match self.call(&dispatch).await {
@@ -142,7 +145,7 @@
             Err(failure) => End::Failed(failure),
         };
         let event = match end {
-            End::Whole(echo, status) => Event::Ended { attempt, echo, status },
+            End::Complete(echo, status) => Event::Ended { attempt, echo, status },
             End::Failed(failure) => Event::Failed(attempt, failure),
         };
         handle.send(event).await;
@@ -152,7 +155,8 @@
         format!("{}-{attempt}", self.identity)
     }
 
-    /// The attempt that an upstream's id names; of another router's, none has number 0.
+    /// Parses an id from a response; an id of another router or run gives attempt 0, which does not
+    /// exist.
     fn parse_id(&self, id: &str) -> AttemptId {
         let number = id.rsplit_once(&self.identity).and_then(|(_, n)| n.strip_prefix('-'));
         AttemptId(number.and_then(|n| n.parse().ok()).unwrap_or(0))
@@ -194,19 +198,19 @@
         }
     }
 
-    /// Reads an engine's stream; it is whole only with `[DONE]`.
+    /// Reads an engine's stream, which is complete only if it ends with `[DONE]`.
     async fn read_stream(
         &self,
-        d: &Dispatch,
+        dispatch: &Dispatch,
         mut response: Response<Incoming>,
         handle: &Handle,
     ) -> End {
-        let attempt = d.attempt;
+        let attempt = dispatch.attempt;
         if response.status() != StatusCode::OK {
-            return self.read_response(d, response, handle).await;
+            return self.read_response(dispatch, response, handle).await;
         }
         let mut decoder = Decoder::default();
-        let mut offset = d.offset;
+        let mut offset = dispatch.offset;
         while let Some(frame) = response.body_mut().frame().await {
             let Ok(frame) = frame else {
                 return End::Failed(Failure::Broken);
@@ -222,7 +226,7 @@
                     Err(_) => return End::Failed(Failure::Broken),
                 };
                 if event.as_ref() == b"[DONE]" {
-                    return End::Whole(attempt, StatusCode::OK.as_u16());
+                    return End::Complete(attempt, StatusCode::OK.as_u16());
                 }
                 let Ok(chunk) = serde_json::from_slice::<Chunk>(&event) else {
                     return End::Failed(Failure::Broken);
@@ -241,23 +245,23 @@
         End::Failed(Failure::Broken)
     }
 
-    /// Reads an answer whole.
+    /// Reads a response completely.
     async fn read_response(
         &self,
-        d: &Dispatch,
+        dispatch: &Dispatch,
         response: Response<Incoming>,
         handle: &Handle,
     ) -> End {
-        let attempt = d.attempt;
+        let attempt = dispatch.attempt;
         let status = response.status().as_u16();
         let id = response.headers().get(REQUEST_ID_HEADER).and_then(|v| v.to_str().ok());
         let echo = id.map_or(attempt, |id| self.parse_id(id));
         let Ok(text) = collect(response).await else {
             return End::Failed(Failure::Broken);
         };
-        let offset = d.offset;
+        let offset = dispatch.offset;
         handle.send(Event::Frame { attempt, echo, offset, tokens: 0, text }).await;
-        End::Whole(echo, status)
+        End::Complete(echo, status)
     }
 }
 
