--- a/router/src/api.rs
+++ b/router/src/api.rs
@@ -1,4 +1,4 @@
-//! The callers' API.
+//! Serves the callers' HTTP API: entry points, models, completions and plain services.
 
 use std::convert::Infallible;
 use std::io;
@@ -38,7 +38,7 @@
 
 /// Largest request body, in bytes.
 pub const MAX_BODY_BYTES: usize = 1 << 20;
-/// A sender of a body may take this long.
+/// Timeout for the arrival of a complete request body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(15);
 const CLASS_HEADER: &str = "x-class";
 const IDEMPOTENT_HEADER: &str = "x-idempotent";
@@ -47,18 +47,18 @@
 const MODEL_PARAMETER: &str = "model=";
 const SERVICES_PREFIX: &str = "/v1/services/";
 
-/// What handlers share.
+/// State that all handlers share.
 #[derive(Clone)]
 pub struct Shared {
-    /// The driver.
+    /// Handle of the driver.
     pub handle: Handle,
-    /// Begins the ids of answers.
+    /// Identity of this run of the router, which is part of each completion's id.
     pub identity: Arc<str>,
 }
 
 impl StateData for Shared {}
 
-/// Routes of the callers' API.
+/// Builds the routes of the callers' API.
 pub fn routes() -> Router {
     build_simple_router(|route| {
         route.get("/v1/entry").to_async(entry);
@@ -128,7 +128,7 @@
     let body = Limited::new(Body::take_from(state), MAX_BODY_BYTES);
     let refuse = |status, code, message: &str| {
         let mut response = reply::error(status, &Error::bad_request(code, message));
-        // What the sender still has to send is not read, so the connection can't be used again.
+        // The rest of the body is not read, so the connection can't be reused.
         let close = hyper::header::HeaderValue::from_static("close");
         response.headers_mut().insert(hyper::header::CONNECTION, close);
         Box::new(response)
@@ -196,12 +196,12 @@
 }
 
 async fn complete(state: &mut State, shape: Shape) -> Result<Response<Body>, ErrorResponse> {
-    let bad = |e: &dyn std::fmt::Display| {
+    let bad_body = |e: &dyn std::fmt::Display| {
         reply::error(StatusCode::BAD_REQUEST, &Error::bad_request("bad_body", e.to_string()))
     };
     let headers = HeaderMap::take_from(state);
     let bytes = read_body(state).await?;
-    let head = Head::parse(&bytes).map_err(|e| bad(&e))?;
+    let head = Head::parse(&bytes).map_err(|e| bad_body(&e))?;
     let (prompt_tokens, prefix) = head.estimate_prompt();
     let target = Target::Model(head.model.clone());
     let mut submission = build_submission(&headers, target, bytes, true)?;
@@ -241,7 +241,7 @@
     }
 }
 
-/// The driver is gone, or gave this caller up.
+/// Builds the response to a request that the driver has cancelled or left unfinished at its exit.
 fn lost_response() -> ErrorResponse {
     let mut error = Error::incomplete("the router stopped before the answer was whole");
     error.verdict = "outcome_unknown".to_owned();
@@ -277,7 +277,7 @@
     serde_json::to_string(text).unwrap_or_default()
 }
 
-/// An answer that is written as it comes.
+/// A completion that is forwarded as a stream of events.
 struct Stream {
     caller: Caller,
     shape: Shape,
--- a/router/src/publish.rs
+++ b/router/src/publish.rs
@@ -1,8 +1,8 @@
-//! Accepting a configuration: shards first, then one compare-and-swap of the root.
+//! Publishes a configuration: writes its shards, then replaces the root by compare-and-swap.
 //!
-//! The swap writes the root and its entry in the history together. A reply can be lost after the
-//! write took effect; the history entry of the version tells by its operation id whose write it
-//! was, even if a later change has replaced the root since.
+//! The swap writes the root and its history entry together. If the reply is lost, the operation id
+//! in the history entry shows whether the write took effect, even if a later change has replaced
+//! the root since.
 
 use bytes::Bytes;
 use laburnumwheel_core::config::Config;
@@ -15,81 +15,82 @@
 
 use crate::kv::Client;
 
-/// Prefix of the keys of the history, followed by the version.
+/// Prefix of the history keys; the version follows.
 pub const HISTORY_PREFIX: &str = "laburnumwheel/config/history/";
+/// Attempts to replace the root before the outcome is reported as unknown.
 const MAX_ATTEMPTS: usize = 5;
 
-/// A change to be accepted.
+/// A change of the configuration.
 #[derive(Clone, Debug)]
 pub struct Change {
-    /// The whole new configuration.
+    /// The complete new configuration.
     pub config: Config,
-    /// Names the change; unique.
+    /// Unique id of the change.
     pub operation: String,
-    /// Version that the change was made from, if its author says.
+    /// Version that the change is based on, if its author states one.
     pub expected: Option<u64>,
 }
 
-/// How a change ended.
+/// Result of a change that did not fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It is this version.
+    /// The change was accepted as this version.
     Accepted(u64),
-    /// The version in force already has these contents.
+    /// This version is in force and already has the same contents.
     Unchanged(u64),
 }
 
 /// Why a change was not accepted.
 #[derive(Debug, Error)]
 pub enum Error {
-    /// Somebody else's change came first.
+    /// Another change was accepted first.
     #[error(
         "conflict: expected version {expected}, found version {found} by operation {operation}; \
          it changed: {changed}"
     )]
     Conflict {
-        /// Version this change was made from.
+        /// Version that this change is based on.
         expected: u64,
-        /// Version found.
+        /// Version in force.
         found: u64,
-        /// Operation of that version.
+        /// Id of the operation that created the version in force.
         operation: String,
-        /// What differs between the two.
+        /// Names of the entries that differ between the two versions.
         changed: String,
     },
-    /// The service did not answer; whether the change was accepted is not known.
+    /// The service did not respond; the change may have been accepted.
     #[error("outcome unknown: the key-value service does not answer ({0}); operation {1}")]
     OutcomeUnknown(Status, String),
-    /// The service did not answer before anything was accepted.
+    /// The service did not respond; the change was not accepted.
     #[error("the key-value service does not answer: {0}; nothing was accepted")]
     Unavailable(Status),
     /// The configuration can't be stored.
     #[error(transparent)]
     Shard(#[from] shard::Error),
-    /// What the service holds is no root.
+    /// The stored root could not be decoded.
     #[error("the stored root can't be read: {0}")]
     MalformedRoot(serde_json::Error),
 }
 
-/// Key of a version in the history.
+/// Returns the history key of a version.
 pub fn history_key(version: u64) -> String {
     format!("{HISTORY_PREFIX}{version:020}")
 }
 
-/// Reads the root and its revision; the default root if there is none.
+/// Reads the root and its revision; without a stored root, the default root and revision 0.
 ///
 /// # Errors
 ///
-/// [`Error::Unavailable`] or [`Error::MalformedRoot`].
+/// Returns [`Error::Unavailable`] or [`Error::MalformedRoot`].
 pub async fn read_root(kv: &Client) -> Result<(Root, i64), Error> {
     read_root_at(kv, ROOT_KEY).await
 }
 
-/// Reads the root of an earlier version; the default root if there is none.
+/// Reads the root of a version from the history; the default root if there is none.
 ///
 /// # Errors
 ///
-/// [`Error::Unavailable`] or [`Error::MalformedRoot`].
+/// Returns [`Error::Unavailable`] or [`Error::MalformedRoot`].
 pub async fn read_past_root(kv: &Client, version: u64) -> Result<Root, Error> {
     Ok(read_root_at(kv, &history_key(version)).await?.0)
 }
@@ -104,11 +105,11 @@
     }
 }
 
-/// Reads the configuration that `root` names.
+/// Reads the configuration whose shards `root` lists.
 ///
 /// # Errors
 ///
-/// [`Error::Unavailable`], or [`Error::Shard`] if a shard is missing or broken.
+/// Returns [`Error::Unavailable`], or [`Error::Shard`] if a shard is missing or malformed.
 pub async fn read_config(kv: &Client, root: &Root) -> Result<Config, Error> {
     let mut contents = std::collections::BTreeMap::new();
     for hash in root.shards.values() {
@@ -120,12 +121,12 @@
     Ok(shard::join(root, &contents)?)
 }
 
-/// Has a change accepted.
+/// Publishes a change.
 ///
 /// # Errors
 ///
-/// [`Error::Conflict`] if another change came first; [`Error::OutcomeUnknown`] only when the service
-/// stays out of reach after the swap was sent.
+/// Returns [`Error::Conflict`] if another change was accepted first, and [`Error::OutcomeUnknown`]
+/// only if the service stays unreachable after the swap was sent.
 pub async fn apply(kv: &Client, change: &Change) -> Result<Outcome, Error> {
     let (old, revision) = read_root(kv).await?;
     if let Some(expected) = change.expected
@@ -155,9 +156,9 @@
     let text = serde_json::to_vec(new).map_err(Error::MalformedRoot)?;
     let value = Bytes::from(text);
     let values = vec![(ROOT_KEY.to_owned(), value.clone()), (history_key(new.version), value)];
-    let mut lost = None;
+    let mut last_error = None;
     for _ in 0..MAX_ATTEMPTS {
-        // Sending the same swap again is safe: it applies only to the revision read above.
+        // Resending the swap is safe, since it applies only to the revision that was read.
         match kv.compare_and_swap_all(ROOT_KEY, revision, values.clone()).await {
             Ok(Some(_)) => return Ok(Outcome::Accepted(new.version)),
             Ok(None) => {
@@ -165,16 +166,16 @@
                     continue;
                 };
                 if stored.operation == new.operation {
-                    // An earlier try took effect and its reply was lost.
+                    // An earlier attempt took effect, but its reply was lost.
                     return Ok(Outcome::Accepted(new.version));
                 }
                 let (found, _) = read_root(kv).await?;
                 return Err(conflict_error(kv, old.version, old, &found).await);
             }
-            Err(status) => lost = Some(status),
+            Err(status) => last_error = Some(status),
         }
     }
-    let status = lost.unwrap_or_else(|| Status::unavailable("no answer"));
+    let status = last_error.unwrap_or_else(|| Status::unavailable("no answer"));
     Err(Error::OutcomeUnknown(status, new.operation.clone()))
 }
 
@@ -187,7 +188,7 @@
     Error::Conflict { expected, found: found.version, operation, changed }
 }
 
-/// Names of the entries that differ between two configurations.
+/// Lists the kinds and names of the entries that differ between two configurations.
 pub fn describe_difference(a: &Config, b: &Config) -> String {
     let mut names = Vec::new();
     names.extend(find_differing("class", &a.classes, &b.classes, |c| &c.name));
--- a/router/src/reply.rs
+++ b/router/src/reply.rs
@@ -1,4 +1,4 @@
-//! What callers read: typed errors, whole answers and stream chunks.
+//! Builds responses to callers: errors, complete responses and the events of streams.
 
 use bytes::Bytes;
 use gotham::helpers::http::Body;
@@ -14,23 +14,23 @@
 use serde::Serialize;
 use serde_json::json;
 
-/// A typed error, as callers read it.
+/// An error in the format of the callers' API.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Error {
-    /// What is known: `not_run`, `outcome_unknown` or `incomplete`.
+    /// How far the request got: `not_run`, `outcome_unknown` or `incomplete`.
     #[serde(rename = "type")]
     pub verdict: String,
-    /// Why, in snake case.
+    /// The reason, in snake case.
     pub code: String,
-    /// The same for people.
+    /// The reason as a sentence.
     pub message: String,
-    /// When a retry is worth while; absent if it never is.
+    /// Time after which a retry may succeed, in milliseconds; absent if none can.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
 }
 
 impl Error {
-    /// An error in the request itself, found before anything ran.
+    /// Creates an error for a request that was rejected before anything ran.
     pub fn bad_request(code: &str, message: impl ToString) -> Error {
         Error {
             verdict: Verdict::NotRun.to_string(),
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Converts a refusal of the node.
+    /// Creates the error for a refusal of the node.
     pub fn from_refusal(refusal: &Refusal) -> Error {
         Error {
             verdict: refusal.verdict.to_string(),
@@ -51,7 +51,7 @@
         }
     }
 
-    /// A stream that ended before its answer was whole.
+    /// Creates an error for a response that ended early.
     pub fn incomplete(message: &str) -> Error {
         Error {
             verdict: Verdict::Incomplete.to_string(),
@@ -81,10 +81,10 @@
     }
 }
 
-/// HTTP status of a refusal.
+/// Returns the HTTP status of a refusal.
 ///
-/// Each verdict has statuses of its own: 4xx and 503 mean that the request did not run, 502 that
-/// its outcome is unknown or its answer incomplete.
+/// 4xx and 503 mean that the request did not run, 502 that its outcome is unknown or its response
+/// is incomplete.
 pub fn status(refusal: &Refusal) -> StatusCode {
     if refusal.verdict != Verdict::NotRun {
         return StatusCode::BAD_GATEWAY;
@@ -99,7 +99,7 @@
     }
 }
 
-/// A body held in memory.
+/// Builds a body from bytes.
 pub fn full(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into()).map_err(|e| match e {}).boxed_unsync()
 }
@@ -113,13 +113,13 @@
     response
 }
 
-/// A JSON response.
+/// Builds a JSON response.
 pub fn json(status: StatusCode, value: &impl Serialize) -> Response<Body> {
     let text = serde_json::to_vec(value).unwrap_or_default();
     build(status, "application/json", full(text))
 }
 
-/// A typed error.
+/// Builds an error response; a `retry-after` header repeats the time to a retry in seconds.
 pub fn error(status: StatusCode, error: &Error) -> Response<Body> {
     let mut response = json(status, &json!({ "error": error }));
     if let Some(ms) = error.retry_after_ms {
@@ -129,7 +129,7 @@
     response
 }
 
-/// A plain service's answer as it came.
+/// Builds a response with an upstream's status and body.
 pub fn forward(status: u16, text: Bytes) -> Response<Body> {
     let status = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
     let looks_json = matches!(text.first(), Some(b'{' | b'['));
@@ -137,12 +137,12 @@
     build(status, content_type, full(text))
 }
 
-/// A stream of server-sent events.
+/// Builds a response that streams server-sent events.
 pub fn event_stream(body: Body) -> Response<Body> {
     build(StatusCode::OK, "text/event-stream", body)
 }
 
-/// Shape of the answer: chat messages or plain text.
+/// Format of a completion: chat message or plain text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Shape {
     /// `/v1/chat/completions`.
@@ -151,7 +151,7 @@
     Text,
 }
 
-/// A whole answer.
+/// Builds a complete completion; `usage` holds the tokens of the prompt and of the completion.
 pub fn completion(
     shape: Shape,
     id: &str,
@@ -186,10 +186,10 @@
     json(StatusCode::OK, &body)
 }
 
-/// One event of a stream that carries `text`.
+/// Builds one event of a stream; `id` and `model` must be JSON strings with their quotes.
 pub fn chunk(shape: Shape, id: &str, model: &str, text: &str) -> Bytes {
     let quoted = serde_json::to_string(text).unwrap_or_default();
-    // Written by hand: this runs once a token. `id` and `model` are quoted by the caller.
+    // Formatted without serde, since this runs once for each token.
     let event = match shape {
         Shape::Chat => format!(
             "data: {{\"id\":{id},\"object\":\"chat.completion.chunk\",\"model\":{model},\
@@ -204,12 +204,12 @@
     Bytes::from(event)
 }
 
-/// The end of a whole stream.
+/// Returns the last event of a complete stream.
 pub fn end_event() -> Bytes {
     Bytes::from_static(b"data: [DONE]\n\n")
 }
 
-/// The end of a stream that is not whole: an error event and no `[DONE]`.
+/// Builds the last event of an incomplete stream: an error, and no `[DONE]`.
 pub fn error_event(error: &Error) -> Bytes {
     let text = serde_json::to_string(&json!({ "error": error })).unwrap_or_default();
     Bytes::from(format!("event: error\ndata: {text}\n\n"))
