--- a/router/src/body.rs
+++ b/router/src/body.rs
@@ -1,4 +1,4 @@
-//! Reads callers' JSON bodies, and writes the bodies that engines get.
+//! Parses callers' JSON bodies and builds the bodies that are sent to engines.
 
 use bytes::Bytes;
 use laburnumwheel_core::rendezvous;
@@ -9,28 +9,28 @@
 
 use crate::reply::Shape;
 
-/// Bytes of prompt in one block of the prefix chain.
+/// Bytes of the prompt in one block; each block extends the hashed prefix.
 const BLOCK_BYTES: usize = 256;
 const MAX_BLOCKS: usize = 8;
 const BYTES_PER_TOKEN: usize = 4;
 
-/// Why a body can't be read.
+/// Why a body can't be parsed.
 #[derive(Debug, Error)]
 pub enum Error {
-    /// Not JSON, or a field of the wrong type.
+    /// The body is not JSON, or a field is missing or has the wrong type.
     #[error("the body is not a valid request: {0}")]
     Json(#[from] serde_json::Error),
 }
 
-/// What the router needs to know of a body.
+/// The fields of a request body that the router uses.
 #[derive(Debug, Deserialize)]
 pub struct Head {
-    /// Model.
+    /// Name of the model.
     pub model: String,
-    /// Chunks as they come.
+    /// Whether the response is streamed.
     #[serde(default)]
     pub stream: bool,
-    /// Most tokens.
+    /// Most tokens in the response.
     #[serde(default)]
     pub max_tokens: Option<u32>,
     #[serde(default)]
@@ -46,11 +46,11 @@
 }
 
 impl Head {
-    /// Reads a body.
+    /// Parses a body.
     ///
     /// # Errors
     ///
-    /// [`Error::Json`] with line and column.
+    /// Returns [`Error::Json`], which states the line and column.
     pub fn parse(body: &[u8]) -> Result<Head, Error> {
         Ok(serde_json::from_slice(body)?)
     }
@@ -65,7 +65,8 @@
         texts.collect::<Vec<_>>().join("\n")
     }
 
-    /// Tokens in the prompt, estimated, and the hashes of its prefixes, shortest first.
+    /// Returns the estimated number of tokens in the prompt and the hashes of its prefixes,
+    /// shortest first.
     pub fn estimate_prompt(&self) -> (u32, Vec<u64>) {
         let text = self.text();
         let bytes = text.as_bytes();
@@ -77,10 +78,11 @@
     }
 }
 
-/// The body for an engine: always a stream, with its priority, and going on behind `partial`.
+/// Builds the body for an engine from a caller's: with a stream as its response, with `priority`,
+/// and with `partial` as the beginning of the response.
 ///
-/// Engines go on from a final assistant message when told so, which is how a stream that broke
-/// elsewhere is taken up without repeating a token.
+/// On request, engines continue a final assistant message, so that a stream that broke off at
+/// another engine is resumed without repeating a token.
 pub fn prepare_for_engine(body: &Bytes, priority: u8, partial: &str) -> (Shape, Bytes) {
     let Ok(Value::Object(mut fields)) = serde_json::from_slice::<Value>(body) else {
         return (Shape::Chat, body.clone());
--- a/router/src/kv.rs
+++ b/router/src/kv.rs
@@ -1,4 +1,4 @@
-//! The client of the key-value service, by the etcd v3 gRPC API.
+//! Calls the key-value service through the etcd v3 gRPC API.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,32 +17,33 @@
 use tonic::transport::Endpoint;
 
 const TIMEOUT: Duration = Duration::from_secs(2);
-const KEEP_ALIVE: Duration = Duration::from_secs(5);
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(5);
 
-/// A client that connects when it is first used.
+/// A client of the key-value service, which connects at the first call.
 #[derive(Clone, Debug)]
 pub struct Client {
     kv: KvClient<Channel>,
 }
 
 impl Client {
-    /// A client of the service at `address`.
+    /// Creates a client of the service at `address`.
     ///
     /// # Errors
     ///
-    /// If the address is no valid URI.
+    /// Returns an error if the address does not give a valid URI.
     pub fn new(address: SocketAddr) -> Result<Client, tonic::transport::Error> {
-        // The service's connections can fall silent too: HTTP/2 pings find that out.
+        // A connection can stop carrying data without closing, which HTTP/2 pings detect.
         let endpoint = Endpoint::from_shared(format!("http://{address}"))?
             .connect_timeout(TIMEOUT)
             .timeout(TIMEOUT)
-            .http2_keep_alive_interval(KEEP_ALIVE)
+            .http2_keep_alive_interval(KEEP_ALIVE_INTERVAL)
             .keep_alive_timeout(TIMEOUT)
             .keep_alive_while_idle(false);
         Ok(Client { kv: KvClient::new(endpoint.connect_lazy()) })
     }
 
-    /// Makes a call; every failure is [`KvReply::Unavailable`], since a write may have happened.
+    /// Makes a call; every failure gives [`KvReply::Unavailable`], since the write may have taken
+    /// effect.
     pub async fn call(&self, call: &KvCall) -> KvReply {
         let reply = match call {
             KvCall::Get { key } => self.get(key).await.map(KvReply::Value),
@@ -53,11 +54,11 @@
         reply.unwrap_or(KvReply::Unavailable)
     }
 
-    /// Reads a key: its value and modification revision.
+    /// Reads the value and the modification revision of a key.
     ///
     /// # Errors
     ///
-    /// The status of the call.
+    /// Returns the status of a failed call.
     pub async fn get(&self, key: &str) -> Result<Option<(Bytes, i64)>, Status> {
         let request = etcd::RangeRequest { key: key.into(), limit: 1, ..Default::default() };
         let response = self.kv.clone().range(request).await?.into_inner();
@@ -65,12 +66,12 @@
         Ok(first.map(|kv| (Bytes::from(kv.value), kv.mod_revision)))
     }
 
-    /// Writes a key if its modification revision is `revision`; 0 means that it must be absent.
-    /// Returns the new revision if it did.
+    /// Writes a key if its modification revision is `revision`, where 0 stands for an absent key.
+    /// Returns the new revision, or `None` if the key was at another revision.
     ///
     /// # Errors
     ///
-    /// The status of the call; the write may have happened.
+    /// Returns the status of a failed call; the write may have taken effect.
     pub async fn compare_and_swap(
         &self,
         key: &str,
@@ -80,11 +81,12 @@
         self.compare_and_swap_all(key, revision, vec![(key.to_owned(), value)]).await
     }
 
-    /// Writes all of `values` if the modification revision of `key` is `revision`.
+    /// Writes all of `values` if the modification revision of `key` is `revision`. Returns the same
+    /// as [`Client::compare_and_swap`].
     ///
     /// # Errors
     ///
-    /// The status of the call; the writes may have happened.
+    /// Returns the status of a failed call; the writes may have taken effect.
     pub async fn compare_and_swap_all(
         &self,
         key: &str,
@@ -110,11 +112,11 @@
         Ok(response.succeeded.then(|| response.header.map_or(0, |h| h.revision)))
     }
 
-    /// Writes a key whatever it holds; for values whose key is their content hash.
+    /// Writes a key unconditionally, which is safe for values whose key is their content hash.
     ///
     /// # Errors
     ///
-    /// The status of the call; the write may have happened.
+    /// Returns the status of a failed call; the write may have taken effect.
     pub async fn put(&self, key: &str, value: Bytes) -> Result<(), Status> {
         let put = etcd::PutRequest { key: key.into(), value: value.into(), ..Default::default() };
         self.kv.clone().put(put).await?;
--- a/router/src/metrics.rs
+++ b/router/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Sends counters and gauges to StatsD, through cadence.
+//! Sends the node's counters and gauges to StatsD.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,7 +16,7 @@
 
 const INTERVAL: Duration = Duration::from_secs(5);
 
-/// A sample of the node: counters by name and class.
+/// The node's counters and gauges at one time, by name and class.
 #[derive(Debug, Default)]
 struct Sample {
     counters: BTreeMap<(String, String), u64>,
@@ -80,8 +80,8 @@
     let mut sent: BTreeMap<(String, String), u64> = BTreeMap::new();
     while let Some(sample) = handle.query(|node, _| read(node)).await {
         for (key, value) in sample.counters {
-            let before = sent.insert(key.clone(), value).unwrap_or(0);
-            let delta = value.saturating_sub(before) as i64;
+            let previous = sent.insert(key.clone(), value).unwrap_or(0);
+            let delta = value.saturating_sub(previous) as i64;
             client.count_with_tags(&key.0, delta).with_tag("class", &key.1).send();
         }
         for (key, value) in sample.gauges {
--- a/router/src/peer.rs
+++ b/router/src/peer.rs
@@ -1,4 +1,4 @@
-//! Messages between routers over tonic.
+//! Exchanges messages with other routers over gRPC.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -25,15 +25,15 @@
 
 use crate::driver::Handle;
 
-/// Longest time for one message. Messages are repeated by the core where that matters.
+/// Timeout of one message. The node repeats those that must arrive.
 const TIMEOUT: Duration = Duration::from_secs(2);
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Messages under way to one peer; more are dropped, since a peer that is so slow is no use.
+/// Messages in flight to one peer; more are dropped, since a peer that slow can't use them.
 const MAX_IN_FLIGHT: usize = 256;
 const MAX_MESSAGE_BYTES: usize = 4 << 20;
 const SECRET_HEADER: &str = "x-peer-secret";
 
-/// What peers prove to each other: a hash of the shared secret, in hexadecimal.
+/// Hashes the shared secret, in hexadecimal; peers send the hash in place of the secret.
 fn hash_secret(secret: &str) -> String {
     laburnumwheel_core::config::hash_key(&format!("peer:{secret}"))
 }
@@ -43,7 +43,7 @@
     slots: Arc<Semaphore>,
 }
 
-/// Sends messages to peers; one connection each, dialled when first used.
+/// Sends messages to peers, over one connection each that is opened at the first message.
 pub struct Client {
     name: String,
     incarnation: u64,
@@ -52,7 +52,7 @@
 }
 
 impl Client {
-    /// A client that signs its messages with the router's name and incarnation.
+    /// Creates a client whose messages state the router's name and incarnation.
     pub fn new(name: &str, incarnation: u64, secret: &str) -> Client {
         let name = name.to_owned();
         Client { name, incarnation, secret_hash: hash_secret(secret), connections: BTreeMap::new() }
@@ -69,7 +69,7 @@
         self.connections.get(address)
     }
 
-    /// Sends a message without waiting for it.
+    /// Sends a message in the background; it may be lost.
     pub fn send(&mut self, address: &str, message: Message) {
         let Ok(payload) = codec::encode_message(&message) else {
             return;
@@ -95,26 +95,26 @@
             request
                 .metadata_mut()
                 .insert(AsciiMetadataKey::from_static(SECRET_HEADER), secret_hash);
-            // A lost message is the core's to repeat; probes judge the peer.
+            // The node repeats messages that must arrive, and probes detect a failed peer.
             let _ = client.send(request).await;
             drop(permit);
         });
     }
 
-    /// Drops the connection to a peer; the next message dials anew.
+    /// Drops the connection to a peer; the next message opens a new one.
     pub fn redial(&mut self, address: &str) {
         self.connections.remove(address);
     }
 }
 
-/// Takes peers' messages in.
+/// Receives peers' messages.
 pub struct Service {
     handle: Handle,
     secret_hash: String,
 }
 
 impl Service {
-    /// The service that feeds `handle`.
+    /// Creates a service that passes messages to `handle`.
     pub fn server(handle: Handle, secret: &str) -> PeerServer<Service> {
         let service = Service { handle, secret_hash: hash_secret(secret) };
         PeerServer::new(service).max_decoding_message_size(MAX_MESSAGE_BYTES)
@@ -125,8 +125,8 @@
 impl Peer for Service {
     async fn send(&self, request: Request<Envelope>) -> Result<Response<Receipt>, Status> {
         let given = request.metadata().get(SECRET_HEADER).map(|v| v.as_bytes().to_vec());
-        let same = given.is_some_and(|g| bool::from(g.ct_eq(self.secret_hash.as_bytes())));
-        if !same {
+        let valid = given.is_some_and(|g| bool::from(g.ct_eq(self.secret_hash.as_bytes())));
+        if !valid {
             return Err(Status::unauthenticated("not a peer"));
         }
         let envelope = request.into_inner();
--- a/router/src/poll.rs
+++ b/router/src/poll.rs
@@ -1,4 +1,4 @@
-//! Reads the load reports of upstreams.
+//! Polls upstreams for their load reports.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -14,7 +14,7 @@
 const INTERVAL: Duration = Duration::from_millis(500);
 const TIMEOUT: Duration = Duration::from_millis(400);
 
-/// A load report as upstreams write it at `GET /load`.
+/// The response of an upstream to `GET /load`.
 #[derive(Debug, Deserialize)]
 struct Report {
     running: u32,
@@ -26,19 +26,19 @@
     deployment: Option<Deployment>,
 }
 
-/// Reads every upstream's load again and again.
+/// Polls every upstream until the driver exits.
 pub async fn run(client: Client, handle: Handle) {
     loop {
-        let list = handle
+        let upstreams = handle
             .query(|node, _| {
                 let known = node.upstreams().filter(|u| !u.removed);
                 known.map(|u| (u.name.clone(), u.address.clone())).collect::<Vec<_>>()
             })
             .await;
-        let Some(list) = list else {
+        let Some(upstreams) = upstreams else {
             return;
         };
-        for (name, address) in list {
+        for (name, address) in upstreams {
             tokio::spawn(read(client.clone(), handle.clone(), name, address));
         }
         tokio::time::sleep(INTERVAL).await;
@@ -46,17 +46,18 @@
 }
 
 async fn read(client: Client, handle: Handle, name: String, address: String) {
-    let began = Instant::now();
-    let answer = tokio::time::timeout(TIMEOUT, client.get(&address, "/load")).await;
-    let Ok(Ok(body)) = answer else {
+    let started = Instant::now();
+    let response = tokio::time::timeout(TIMEOUT, client.get(&address, "/load")).await;
+    let Ok(Ok(body)) = response else {
         return;
     };
     let Ok(report) = serde_json::from_slice::<Report>(&body) else {
         return;
     };
-    // The report was taken at some moment of the call; half of it is the best guess.
-    let travel = began.elapsed() / 2;
-    let age = Duration::from_millis(report.age_ms) + travel;
+    // The report was made at an unknown time during the call; half of the call's duration is the
+    // best estimate of its age.
+    let half_call = started.elapsed() / 2;
+    let age = Duration::from_millis(report.age_ms) + half_call;
     let load = Load {
         age: age.as_micros() as u64,
         running: report.running,
--- a/router/src/sse.rs
+++ b/router/src/sse.rs
@@ -1,22 +1,22 @@
-//! Splits a byte stream into the data of server-sent events, in bounded memory.
+//! Decodes the data of server-sent events from a byte stream, in bounded memory.
 
 use bytes::Buf;
 use bytes::Bytes;
 use bytes::BytesMut;
 use thiserror::Error;
 
-/// Largest event taken, in bytes.
+/// Largest line of an event, in bytes.
 pub const MAX_EVENT_BYTES: usize = 256 << 10;
 
-/// A stream that is not server-sent events.
+/// Why a stream can't be decoded.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum Error {
-    /// An event is over [`MAX_EVENT_BYTES`].
+    /// A line of an event is longer than [`MAX_EVENT_BYTES`].
     #[error("an event is over {MAX_EVENT_BYTES} bytes")]
     TooLong,
 }
 
-/// Decoder state between two reads.
+/// Incremental decoder of server-sent events.
 #[derive(Debug, Default)]
 pub struct Decoder {
     buffer: BytesMut,
@@ -24,16 +24,16 @@
 }
 
 impl Decoder {
-    /// Adds bytes as they came.
+    /// Appends bytes of the stream.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Data of the next line that has any; `None` until more bytes come.
+    /// Returns the data of the next `data` line, or `None` if none is complete yet.
     ///
     /// # Errors
     ///
-    /// [`Error::TooLong`] for a line that does not end within bounds.
+    /// Returns [`Error::TooLong`] if the next line is too long.
     pub fn pop(&mut self) -> Result<Option<Bytes>, Error> {
         loop {
             let found = self.buffer[self.scanned..].iter().position(|b| *b == b'\n');
