--- a/router/src/admin.rs
+++ b/router/src/admin.rs
@@ -1,4 +1,4 @@
-//! The operators' API, on its own address and behind the operator token.
+//! Serves the operators' HTTP API, on its own address and only with the operator token.
 
 use std::sync::Arc;
 
@@ -26,10 +26,10 @@
 
 const QUANTILES: [(&str, f64); 4] = [("p50", 0.5), ("p95", 0.95), ("p99", 0.99), ("max", 1.0)];
 
-/// What handlers share.
+/// State that all handlers share.
 #[derive(Clone)]
 pub struct Shared {
-    /// The driver.
+    /// Handle of the driver.
     pub handle: Handle,
     /// Hash of the operator token.
     pub token: Arc<str>,
@@ -37,19 +37,19 @@
 
 impl StateData for Shared {}
 
-/// Routes of the operators' API.
+/// Builds the routes of the operators' API.
 pub fn routes() -> Router {
     build_simple_router(|route| {
-        route.get("/admin/status").to_async(|s| view(s, status));
-        route.get("/admin/members").to_async(|s| view(s, members));
-        route.get("/admin/upstreams").to_async(|s| view(s, upstreams));
-        route.get("/admin/classes").to_async(|s| view(s, classes));
-        route.get("/admin/organisations").to_async(|s| view(s, orgs));
+        route.get("/admin/status").to_async(|s| respond(s, status));
+        route.get("/admin/members").to_async(|s| respond(s, members));
+        route.get("/admin/upstreams").to_async(|s| respond(s, upstreams));
+        route.get("/admin/classes").to_async(|s| respond(s, classes));
+        route.get("/admin/organisations").to_async(|s| respond(s, organisations));
         route.post("/admin/drain").to_async(drain);
     })
 }
 
-fn allowed(state: &State) -> bool {
+fn is_authorized(state: &State) -> bool {
     let headers = HeaderMap::borrow_from(state);
     let given = headers.get("authorization").and_then(|v| v.to_str().ok());
     let given = given.and_then(|v| v.strip_prefix("Bearer ")).unwrap_or("");
@@ -57,14 +57,14 @@
     bool::from(hash.as_bytes().ct_eq(Shared::borrow_from(state).token.as_bytes()))
 }
 
-fn forbidden() -> Response<Body> {
+fn unauthorized() -> Response<Body> {
     let error = Error::bad_request("not_an_operator", "the operator token is missing or wrong");
     reply::error(StatusCode::UNAUTHORIZED, &error)
 }
 
-async fn view(state: State, read: fn(&mut Node, Time) -> Value) -> HandlerResult {
-    if !allowed(&state) {
-        return Ok((state, forbidden()));
+async fn respond(state: State, read: fn(&mut Node, Time) -> Value) -> HandlerResult {
+    if !is_authorized(&state) {
+        return Ok((state, unauthorized()));
     }
     let handle = Shared::borrow_from(&state).handle.clone();
     let value = handle.query(read).await.unwrap_or(Value::Null);
@@ -72,8 +72,8 @@
 }
 
 async fn drain(state: State) -> HandlerResult {
-    if !allowed(&state) {
-        return Ok((state, forbidden()));
+    if !is_authorized(&state) {
+        return Ok((state, unauthorized()));
     }
     let handle = Shared::borrow_from(&state).handle.clone();
     handle.send(Event::Stop).await;
@@ -169,7 +169,7 @@
     Value::Array(list.collect())
 }
 
-fn orgs(node: &mut Node, _: Time) -> Value {
+fn organisations(node: &mut Node, _: Time) -> Value {
     let list = node.stats().orgs.iter();
     let list = list.map(|(key, s)| series(&node.index().organisation(*key).name, s));
     Value::Array(list.collect())
--- a/router/src/error.rs
+++ b/router/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a router process can't start or go on.
+//! Errors that end the router process.
 
 use std::io;
 use std::net::SocketAddr;
@@ -7,16 +7,16 @@
 
 use crate::settings::Problem;
 
-/// Errors of the router process.
+/// An error that ends the router process.
 #[derive(Debug, Error)]
 pub enum Error {
-    /// Flags or environment variables are wrong.
+    /// Flags or environment variables are invalid.
     #[error("{}", .0.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"))]
     Settings(Vec<Problem>),
     /// A listening socket could not be opened.
     #[error("can't listen on {0}: {1}")]
     Listen(SocketAddr, io::Error),
-    /// Some other operation of the system failed.
+    /// Another system call failed.
     #[error(transparent)]
     Io(#[from] io::Error),
     /// The subcommand for the users' platform failed.
@@ -28,7 +28,7 @@
 }
 
 impl Error {
-    /// Exit code of the process: 2 for wrong settings, else 1.
+    /// Returns the exit code of the process: 2 for invalid settings, otherwise 1.
     pub fn exit_code(&self) -> u8 {
         match self {
             Error::Settings(_) => 2,
--- a/router/src/lib.rs
+++ b/router/src/lib.rs
@@ -1,4 +1,4 @@
-//! The router process: sockets, timers and logs round `laburnumwheel-core`.
+//! The router process: sockets, timers and logs around a node of `laburnumwheel-core`.
 
 pub mod admin;
 pub mod api;
--- a/router/src/log.rs
+++ b/router/src/log.rs
@@ -1,6 +1,6 @@
-//! One line of key=value pairs for each event, on standard error.
+//! Writes events to standard error, as one line of key=value pairs each.
 //!
-//! No line carries a request body or a key.
+//! No line contains a request body or a key.
 
 use std::sync::Arc;
 
@@ -14,11 +14,11 @@
 use crate::error::Error;
 use crate::settings::Level;
 
-/// Sets the process's logger up.
+/// Sets up the process's logger.
 ///
 /// # Errors
 ///
-/// [`Error::Log`] if the logger can't be built.
+/// Returns [`Error::Log`] if the logger can't be built.
 pub fn init(level: Level) -> Result<(), Error> {
     let line = pattern!("time={date}T{time}.{millisecond} level={level} {payload}{eol}");
     let formatter = PatternFormatter::new(line);
@@ -38,7 +38,7 @@
     Ok(())
 }
 
-/// The text of a line: `event=name key=value ...`, values quoted where they need it.
+/// Formats a line as `event=name key=value ...`, with quotes round values that need them.
 pub fn format(router: &str, line: &Line) -> String {
     let mut text = format!("event={} router={router}", line.event);
     for (name, value) in &line.fields {
@@ -55,7 +55,7 @@
     format!("{value:?}")
 }
 
-/// Writes a line.
+/// Logs a line at level `info`.
 pub fn write(router: &str, line: &Line) {
     spdlog::info!("{}", format(router, line));
 }
--- a/router/src/main.rs
+++ b/router/src/main.rs
@@ -1,4 +1,4 @@
-//! The router process.
+//! Runs a router, or a gateway with the subcommand `platform`.
 
 use std::process::ExitCode;
 
@@ -48,7 +48,7 @@
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     let handle = router.handle.clone();
-    // Further signals find the stop under way and do not shorten it.
+    // A planned stop can't be shortened: further signals have no effect.
     let signals = tokio::spawn(async move {
         loop {
             tokio::select! {
--- a/router/src/router.rs
+++ b/router/src/router.rs
@@ -1,4 +1,8 @@
-//! Starts and stops one router.
+//! Starts and stops a router.
+//!
+//! A router is a driver with its servers for callers, peers and operators, and the tasks that poll
+//! upstreams and send metrics. When the driver has exited, the servers finish the responses in
+//! progress.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -31,13 +35,13 @@
 
 /// A running router.
 pub struct Router {
-    /// Address for callers.
+    /// Address that callers connect to.
     pub callers: SocketAddr,
-    /// Address for peers.
+    /// Address that peers connect to.
     pub peers: SocketAddr,
-    /// Address for operators.
+    /// Address that operators connect to.
     pub operators: SocketAddr,
-    /// The driver.
+    /// Handle of the driver.
     pub handle: Handle,
     done: JoinHandle<()>,
 }
@@ -48,18 +52,18 @@
     Ok((listener, bound))
 }
 
-/// Microseconds since 1970: a later run of a router has a higher incarnation than an earlier one,
-/// as long as its host's clock does not go back by more than the time between the two.
+/// Returns the microseconds since 1970, so that a later run of a router has a higher incarnation
+/// unless its host's clock goes back by more than the time between the two starts.
 fn incarnation() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(1, |d| d.as_micros() as u64)
 }
 
 impl Router {
-    /// Starts a router on the sockets that `settings` name.
+    /// Starts a router that listens on the addresses in `settings`.
     ///
     /// # Errors
     ///
-    /// [`Error::Listen`] if a socket can't be opened.
+    /// Returns [`Error::Listen`] if a socket can't be opened.
     pub async fn start(settings: Settings) -> Result<Router, Error> {
         let (callers, caller_address) = listen(settings.listen).await?;
         let (peers, peer_address) = listen(settings.peer_listen).await?;
@@ -103,7 +107,7 @@
 
         let done = tokio::spawn(async move {
             driver.run().await;
-            // Answers that the node has finished may still be on their way to slow readers.
+            // The servers may still be sending finished responses to slow readers.
             let _ = stop.send(true);
             let _ = api.await;
             let _ = admin.await;
--- a/router/src/serve.rs
+++ b/router/src/serve.rs
@@ -1,6 +1,6 @@
-//! The accept loop for HTTP: gotham's router through hyper-util, with graceful shutdown.
+//! Accepts HTTP connections and serves a gotham router on them, with a graceful shutdown.
 //!
-//! gotham's own loop has no graceful shutdown, which a planned stop needs.
+//! gotham's own accept loop has no graceful shutdown, which a planned stop needs.
 
 use std::panic::AssertUnwindSafe;
 use std::panic::RefUnwindSafe;
@@ -22,18 +22,18 @@
 use tokio::sync::Semaphore;
 use tokio::sync::watch;
 
-/// Connections open at once; more wait to be accepted.
+/// Most connections open at once; further ones wait to be accepted.
 const MAX_CONNECTIONS: usize = 8_192;
-/// A sender of a request's head may take this long.
+/// Timeout for the arrival of a complete request head.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 /// Largest head of a request, in bytes.
 const MAX_HEAD_BYTES: usize = 64 << 10;
-/// After the shutdown signal, connections with answers in progress may go on for this long.
+/// Timeout for the responses in progress at the shutdown signal.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Serves `routes` on `listener` until `stop` turns true, then lets answers in progress finish.
+/// Serves `routes` on `listener` until `stop` turns true, then finishes the responses in progress.
 ///
-/// Every request's state holds a clone of `shared`.
+/// Each request's state holds a clone of `shared`.
 pub async fn run<N, S>(listener: TcpListener, routes: N, shared: S, mut stop: watch::Receiver<bool>)
 where
     N: NewHandler + Clone + Send + Sync + RefUnwindSafe + UnwindSafe + 'static,
@@ -50,7 +50,7 @@
             _ = stop.wait_for(|s| *s) => break,
         };
         let Ok((stream, from)) = accepted else {
-            // Out of file descriptors, most likely: a pause lets some close.
+            // Most likely no file descriptors are left; during the pause some may close.
             tokio::time::sleep(Duration::from_millis(50)).await;
             continue;
         };
@@ -70,7 +70,8 @@
         let connection = builder.serve_connection(TokioIo::new(stream), service);
         let connection = graceful.watch(connection.into_owned());
         tokio::spawn(async move {
-            // An error is the caller's connection breaking; its request's guard tells the node.
+            // An error means that the connection broke; dropping the request's `Caller` tells the
+            // node.
             let _ = connection.await;
             drop(permit);
         });
--- a/router/src/settings.rs
+++ b/router/src/settings.rs
@@ -1,4 +1,6 @@
-//! Settings of the process, from flags and environment variables.
+//! Parses the settings of the process from flags and environment variables.
+//!
+//! All settings are checked before any problem is reported, so that one run shows all of them.
 
 use std::collections::BTreeMap;
 use std::ffi::OsString;
@@ -49,27 +51,27 @@
 ];
 const MIN_SECRET_BYTES: usize = 8;
 
-/// One thing wrong with the settings.
+/// A problem with one setting.
 #[derive(Clone, Debug, PartialEq, Eq, Display)]
 #[display("--{flag}: {message}")]
 pub struct Problem {
-    /// Flag without its dashes.
+    /// The flag, without its dashes.
     pub flag: String,
-    /// What is wrong.
+    /// Description of the problem.
     pub message: String,
 }
 
-/// How much is logged.
+/// Lowest severity that is logged.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Level {
     /// Errors only.
     Error,
-    /// And warnings.
+    /// Errors and warnings.
     Warn,
-    /// And events.
+    /// Errors, warnings and events.
     #[default]
     Info,
-    /// And details.
+    /// Everything.
     Debug,
 }
 
@@ -94,13 +96,13 @@
     pub peer_secret: String,
     /// Bearer token of operators.
     pub operator_token: String,
-    /// StatsD address.
+    /// StatsD address; no metrics are sent if absent.
     pub metrics: Option<SocketAddr>,
-    /// How much is logged.
+    /// Lowest severity that is logged.
     pub log_level: Level,
 }
 
-/// What the command line asks for.
+/// A parsed command line.
 #[derive(Clone, Debug)]
 pub enum Command {
     /// Run a router.
@@ -111,7 +113,7 @@
     Version,
 }
 
-/// Collects raw settings, then checks them all together.
+/// Collects unparsed settings, then parses and checks all of them.
 #[derive(Clone, Debug, Default)]
 pub struct Builder {
     raw: BTreeMap<String, String>,
@@ -119,13 +121,13 @@
 }
 
 impl Builder {
-    /// Sets `flag` as if it stood on the command line.
+    /// Sets a flag, given without its dashes.
     pub fn set(mut self, flag: &str, value: impl ToString) -> Builder {
         self.raw.insert(flag.to_owned(), value.to_string());
         self
     }
 
-    /// Takes what `lookup` finds for the environment variables of flags that are not set.
+    /// Fills in flags that are not set from their environment variables, which `lookup` reads.
     pub fn env(mut self, lookup: impl Fn(&str) -> Option<String>) -> Builder {
         for flag in FLAGS {
             let variable = format!("{PREFIX}{}", flag.replace('-', "_").to_uppercase());
@@ -136,65 +138,65 @@
         self
     }
 
-    /// Checks everything.
+    /// Parses and checks all settings.
     ///
     /// # Errors
     ///
-    /// [`Error::Settings`] with all problems.
+    /// Returns [`Error::Settings`] with all problems.
     pub fn build(mut self) -> Result<Settings, Error> {
         let settings = Settings {
-            name: self.name("name"),
-            failure_domain: self.name("failure-domain"),
+            name: self.parse_name("name"),
+            failure_domain: self.parse_name("failure-domain"),
             listen: self.address("listen"),
             peer_listen: self.address("peer-listen"),
             admin_listen: self.address("admin-listen"),
             key_value: self.optional_address("key-value"),
             seeds: self.addresses("seeds"),
-            peer_secret: self.secret("peer-secret"),
-            operator_token: self.secret("operator-token"),
+            peer_secret: self.parse_secret("peer-secret"),
+            operator_token: self.parse_secret("operator-token"),
             metrics: self.optional_address("metrics"),
-            log_level: self.level("log-level"),
+            log_level: self.parse_level("log-level"),
         };
         if settings.key_value.is_none() && settings.seeds.is_empty() {
-            self.problem("key-value", "give this or --seeds, or the router can join nobody");
+            self.report("key-value", "set this or --seeds, or the router cannot join others");
         }
         if self.problems.is_empty() { Ok(settings) } else { Err(Error::Settings(self.problems)) }
     }
 
-    fn problem(&mut self, flag: &str, message: impl ToString) {
+    fn report(&mut self, flag: &str, message: impl ToString) {
         self.problems.push(Problem { flag: flag.to_owned(), message: message.to_string() });
     }
 
     fn required(&mut self, flag: &str) -> Option<String> {
         let value = self.raw.get(flag).cloned();
         if value.is_none() {
-            self.problem(flag, "is missing");
+            self.report(flag, "is missing");
         }
         value
     }
 
-    fn name(&mut self, flag: &str) -> String {
+    fn parse_name(&mut self, flag: &str) -> String {
         let Some(name) = self.required(flag) else {
             return String::new();
         };
         let plain = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
         if name.is_empty() || name.len() > 64 || !name.chars().all(plain) {
-            self.problem(flag, format!("`{name}` is not 1 to 64 letters, digits, - or _"));
+            self.report(flag, format!("`{name}` is not 1 to 64 letters, digits, - or _"));
         }
         name
     }
 
-    fn secret(&mut self, flag: &str) -> String {
+    fn parse_secret(&mut self, flag: &str) -> String {
         let secret = self.required(flag);
         if secret.as_ref().is_some_and(|s| s.len() < MIN_SECRET_BYTES) {
-            self.problem(flag, format!("must have at least {MIN_SECRET_BYTES} bytes"));
+            self.report(flag, format!("must have at least {MIN_SECRET_BYTES} bytes"));
         }
         secret.unwrap_or_default()
     }
 
     fn parse_address(&mut self, flag: &str, text: &str) -> SocketAddr {
         text.parse().unwrap_or_else(|_| {
-            self.problem(flag, format!("`{text}` is not an IP address and port"));
+            self.report(flag, format!("`{text}` is not an IP address and port"));
             SocketAddr::from(([127, 0, 0, 1], 0))
         })
     }
@@ -215,7 +217,7 @@
         parts.map(|p| self.parse_address(flag, p)).collect()
     }
 
-    fn level(&mut self, flag: &str) -> Level {
+    fn parse_level(&mut self, flag: &str) -> Level {
         match self.raw.get(flag).map(String::as_str) {
             None | Some("info") => Level::Info,
             Some("error") => Level::Error,
@@ -223,18 +225,18 @@
             Some("debug") => Level::Debug,
             Some(other) => {
                 let message = format!("`{other}` is not error, warn, info or debug");
-                self.problem(flag, message);
+                self.report(flag, message);
                 Level::Info
             }
         }
     }
 }
 
-/// Reads the command line and the environment.
+/// Parses the command line, with the environment variables that `env` reads.
 ///
 /// # Errors
 ///
-/// [`Error::Settings`] with every problem found.
+/// Returns [`Error::Settings`] with all problems.
 pub fn parse(
     args: impl IntoIterator<Item = OsString>,
     env: impl Fn(&str) -> Option<String>,
@@ -254,21 +256,21 @@
                 let flag = flag.to_owned();
                 match parser.value().map(|v| v.to_string_lossy().into_owned()) {
                     Ok(value) => builder = builder.set(&flag, value),
-                    Err(_) => builder.problem(&flag, "needs a value"),
+                    Err(_) => builder.report(&flag, "needs a value"),
                 }
             }
             Ok(Some(lexopt::Arg::Long(flag))) => {
                 let flag = flag.to_owned();
-                builder.problem(&flag, "no such option");
+                builder.report(&flag, "no such option");
                 parser.optional_value();
             }
-            Ok(Some(lexopt::Arg::Short(c))) => builder.problem(&c.to_string(), "no such option"),
+            Ok(Some(lexopt::Arg::Short(c))) => builder.report(&c.to_string(), "no such option"),
             Ok(Some(lexopt::Arg::Value(value))) => {
                 let value = value.to_string_lossy().into_owned();
-                builder.problem(&value, "is not an option");
+                builder.report(&value, "is not an option");
             }
             Err(e) => {
-                builder.problem("", e);
+                builder.report("", e);
                 break;
             }
         }
