--- a/router/src/driver.rs
+++ b/router/src/driver.rs
@@ -66,7 +66,7 @@
 #[derive(Clone)]
 pub struct Handle {
     inputs: mpsc::Sender<Input>,
-    next: Arc<AtomicU64>,
+    next_id: Arc<AtomicU64>,
 }
 
 /// Receives the response to one request; dropping it before the end tells the node that the caller
@@ -114,7 +114,7 @@
 
     /// Submits a caller's request and returns the receiver of its response.
     pub async fn submit(&self, submission: Submission) -> Caller {
-        let id = RequestId(self.next.fetch_add(1, Ordering::Relaxed));
+        let id = RequestId(self.next_id.fetch_add(1, Ordering::Relaxed));
         let (sender, parts) = mpsc::channel(PART_CAPACITY);
         let input = Input::Submit(id, Box::new(submission), sender);
         let _ = self.inputs.send(input).await;
@@ -126,12 +126,12 @@
         &self,
         query: impl FnOnce(&mut Node, Time) -> T + Send + 'static,
     ) -> Option<T> {
-        let (sender, answer) = oneshot::channel();
+        let (sender, result) = oneshot::channel();
         let boxed: Query = Box::new(move |node, now| {
             let _ = sender.send(query(node, now));
         });
         self.inputs.send(Input::Query(boxed)).await.ok()?;
-        answer.await.ok()
+        result.await.ok()
     }
 }
 
@@ -159,7 +159,7 @@
         kv: Option<kv::Client>,
     ) -> (Driver, Handle) {
         let (sender, inputs) = mpsc::channel(INPUT_CAPACITY);
-        let handle = Handle { inputs: sender, next: Arc::new(AtomicU64::new(1)) };
+        let handle = Handle { inputs: sender, next_id: Arc::new(AtomicU64::new(1)) };
         // Time starts at one second, so that times up to a second before the start exist.
         let started = Instant::now() - Duration::from_secs(1);
         let driver = Driver {
