--- a/standin/src/engine.rs
+++ b/standin/src/engine.rs
@@ -1,7 +1,8 @@
-//! A model engine: continuous batching with a fixed step, server-sent events, load reports.
+//! A model engine with continuous batching at a fixed time per token, server-sent events and load
+//! reports.
 //!
-//! Token `n` of every answer is the text `n ` in decimal, so a reader can check an answer for
-//! missing, doubled and foreign tokens, and a resumed answer goes on with the next number.
+//! Token `n` of each response is the text `n ` in decimal, so that a reader can detect missing,
+//! repeated and foreign tokens. A resumed response continues with the next number.
 
 use std::io;
 use std::net::SocketAddr;
@@ -33,25 +34,26 @@
 use crate::http;
 use crate::http::Body;
 
+/// Tokens in the response to a request without `max_tokens`.
 const DEFAULT_MAX_TOKENS: u32 = 16;
-/// A faulty engine misbehaves at this token of each answer.
+/// Tokens that a faulty engine sends in each response before its fault occurs.
 const FAULT_TOKEN: u32 = 3;
 
-/// How an engine misbehaves.
+/// A fault that an engine simulates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u32)]
 pub enum Fault {
-    /// Not at all.
+    /// No fault.
     None = 0,
-    /// Breaks the connection in the middle of an answer.
+    /// Breaks the connection in the middle of a response.
     Crash = 1,
-    /// Falls silent in the middle of an answer, its connection open.
+    /// Stops sending in the middle of a response, with the connection open.
     Silent = 2,
-    /// Sends another request's id.
+    /// Sends the id of another request.
     WrongId = 3,
-    /// Sends what is no JSON.
+    /// Sends an event that is not JSON.
     Malformed = 4,
-    /// Ends the stream early without `[DONE]`.
+    /// Ends the stream early, without `[DONE]`.
     Truncated = 5,
 }
 
@@ -74,27 +76,28 @@
     orders: Mutex<Orders>,
 }
 
-/// What the engine was ordered to have.
+/// The last order that the engine executed.
 #[derive(Debug, Default)]
 struct Orders {
     fence: i64,
     deployment: Deployment,
 }
 
-/// A running engine; dropping it breaks its connections, like a crash.
+/// A running engine; dropping it breaks its connections, as a crash does.
 pub struct Engine {
-    /// Where it listens.
+    /// Address that the engine listens on.
     pub address: SocketAddr,
     state: Arc<State>,
     task: JoinHandle<()>,
 }
 
 impl Engine {
-    /// Starts an engine on a port of the loopback address (0: a free one).
+    /// Starts an engine on a port of the loopback address; port 0 selects a free one. `step` is the
+    /// time per token.
     ///
     /// # Errors
     ///
-    /// If the port can't be bound.
+    /// Returns an error if the port can't be bound.
     pub async fn start(port: u16, slots: u32, step: Duration) -> io::Result<Engine> {
         let (listener, address) = http::listen(port).await?;
         let state = Arc::new(State {
@@ -114,27 +117,27 @@
         Ok(Engine { address, state, task })
     }
 
-    /// Misbehaves from now on.
+    /// Sets the fault of later responses.
     pub fn set_fault(&self, fault: Fault) {
         self.state.fault.store(fault as u32, Ordering::Relaxed);
     }
 
-    /// Refuses new work from now on and says that it is leaving.
+    /// Refuses new requests from now on, and states in the refusals that the engine is leaving.
     pub fn leave(&self) {
         self.state.leaving.store(true, Ordering::Relaxed);
     }
 
-    /// What it was ordered to have.
+    /// Returns the deployment that the last order set.
     pub fn deployment(&self) -> Deployment {
         self.state.orders.lock().map(|o| o.deployment.clone()).unwrap_or_default()
     }
 
-    /// Tokens generated.
+    /// Returns the number of tokens generated so far.
     pub fn tokens(&self) -> u64 {
         self.state.tokens.load(Ordering::Relaxed)
     }
 
-    /// Requests in the batch.
+    /// Returns the number of requests in the batch.
     pub fn running(&self) -> u32 {
         self.state.running.load(Ordering::Relaxed)
     }
@@ -174,26 +177,26 @@
     let id = id.unwrap_or("none").to_owned();
     let body = request.into_body().collect().await.map_err(io::Error::other)?.to_bytes();
     let body: Value = serde_json::from_slice(&body).unwrap_or(Value::Null);
-    let wanted = body["max_tokens"].as_u64().map_or(DEFAULT_MAX_TOKENS, |n| n as u32);
+    let max_tokens = body["max_tokens"].as_u64().map_or(DEFAULT_MAX_TOKENS, |n| n as u32);
     let chat = body.get("messages").is_some();
-    let answer = Answer {
+    let generation = Generation {
         slot: BatchSlot::wait(&state).await,
         fault: Fault::from_number(state.fault.load(Ordering::Relaxed)),
         state,
         id,
         chat,
         next: count_partial_tokens(&body),
-        wanted,
+        max_tokens,
         sent: 0,
     };
-    let frames = stream::unfold(Some(answer), |answer| async move { answer?.next_frame().await });
+    let frames = stream::unfold(Some(generation), |g| async move { g?.next_frame().await });
     let mut response = Response::new(StreamBody::new(frames).boxed());
     let kind = hyper::header::HeaderValue::from_static("text/event-stream");
     response.headers_mut().insert(hyper::header::CONTENT_TYPE, kind);
     Ok(response)
 }
 
-/// Carries an order out, unless its fencing number is lower than one seen before.
+/// Executes an order, unless its fencing token is lower than that of an earlier order.
 fn execute_order(state: &State, body: &[u8]) -> Response<Body> {
     let body: Value = serde_json::from_slice(body).unwrap_or_default();
     let fence = body["fence"].as_i64().unwrap_or(0);
@@ -204,7 +207,7 @@
         return response;
     };
     if fence < orders.fence {
-        let mut response = Response::new(full("a newer orderer was here"));
+        let mut response = Response::new(full("an order with a higher fencing token was executed"));
         *response.status_mut() = StatusCode::CONFLICT;
         return response;
     }
@@ -212,20 +215,20 @@
     Response::new(full("done"))
 }
 
-/// Tokens that the request's final assistant message already has.
+/// Counts the tokens in the request's final assistant message, which the response continues.
 fn count_partial_tokens(body: &Value) -> u32 {
     let last = body["messages"].as_array().and_then(|m| m.last());
     let partial = last.filter(|m| m["role"] == "assistant").and_then(|m| m["content"].as_str());
     partial.map_or(0, |text| text.split_whitespace().count() as u32)
 }
 
-/// A slot in the batch, counted while it is held.
+/// A slot in the batch; its request counts as running until it is dropped.
 struct BatchSlot {
     state: Arc<State>,
     _permit: Option<OwnedSemaphorePermit>,
 }
 
-/// Counts a waiting request until it is dropped, also when the caller goes.
+/// Counts a request as waiting until it is dropped, which also happens if the caller disconnects.
 struct Waiting<'a>(&'a AtomicU32);
 
 impl Drop for Waiting<'_> {
@@ -251,25 +254,26 @@
     }
 }
 
-struct Answer {
+/// A response in progress.
+struct Generation {
     slot: BatchSlot,
     state: Arc<State>,
     fault: Fault,
     id: String,
     chat: bool,
     next: u32,
-    wanted: u32,
+    max_tokens: u32,
     sent: u32,
 }
 
-type NextFrame = Option<(io::Result<Frame<Bytes>>, Option<Answer>)>;
+type NextFrame = Option<(io::Result<Frame<Bytes>>, Option<Generation>)>;
 
-impl Answer {
+impl Generation {
     async fn next_frame(mut self) -> NextFrame {
         if !self.state.step.is_zero() {
             tokio::time::sleep(self.state.step).await;
         }
-        if self.next >= self.wanted {
+        if self.next >= self.max_tokens {
             let done = Bytes::from_static(b"data: [DONE]\n\n");
             return Some((Ok(Frame::data(done)), None));
         }
--- a/standin/src/http.rs
+++ b/standin/src/http.rs
@@ -1,4 +1,4 @@
-//! A minimal HTTP/1.1 accept loop.
+//! Accepts and serves HTTP/1.1 connections.
 
 use std::future::Future;
 use std::io;
@@ -16,14 +16,14 @@
 
 pub(crate) type Body = BoxBody<bytes::Bytes, io::Error>;
 
-/// Binds a port of the loopback address; 0 takes a free one.
+/// Binds a port of the loopback address; port 0 selects a free one.
 pub(crate) async fn listen(port: u16) -> io::Result<(TcpListener, SocketAddr)> {
     let listener = TcpListener::bind(("127.0.0.1", port)).await?;
     let address = listener.local_addr()?;
     Ok((listener, address))
 }
 
-/// Serves until dropped; every connection ends with it.
+/// Serves connections until the future is dropped, which closes all of them.
 pub(crate) async fn serve<F, Fut>(listener: TcpListener, handle: F)
 where
     F: Fn(Request<Incoming>) -> Fut + Clone + Send + 'static,
--- a/standin/src/kv.rs
+++ b/standin/src/kv.rs
@@ -1,4 +1,4 @@
-//! The key-value service: the part of the etcd v3 API that routers use, in memory.
+//! An in-memory key-value service with the part of the etcd v3 API that routers use.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -27,16 +27,16 @@
 use tonic::Status;
 use tonic::transport::Server;
 
-/// Largest value, as at the platform.
+/// Largest value that the service accepts, in bytes.
 const MAX_VALUE_BYTES: usize = 1 << 20;
 
-/// How the service misbehaves.
+/// A fault that the service simulates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u32)]
 pub enum Mode {
-    /// Not at all.
+    /// No fault.
     Up = 0,
-    /// Every call fails without effect.
+    /// Each call fails and has no effect.
     Down = 1,
     /// Writes take effect, but their replies are lost.
     LoseReplies = 2,
@@ -58,18 +58,18 @@
 
 /// A running service.
 pub struct Service {
-    /// Where it listens.
+    /// Address that the service listens on.
     pub address: SocketAddr,
     state: Arc<State>,
     task: JoinHandle<()>,
 }
 
 impl Service {
-    /// Starts the service on a port of the loopback address (0: a free one).
+    /// Starts the service on a port of the loopback address; port 0 selects a free one.
     ///
     /// # Errors
     ///
-    /// If the port can't be bound.
+    /// Returns an error if the port can't be bound.
     pub async fn start(port: u16) -> io::Result<Service> {
         let listener = TcpListener::bind(("127.0.0.1", port)).await?;
         let address = listener.local_addr()?;
@@ -82,12 +82,12 @@
         Ok(Service { address, state, task })
     }
 
-    /// Misbehaves from now on.
+    /// Sets the fault of later calls.
     pub fn set_mode(&self, mode: Mode) {
         self.state.mode.store(mode as u32, Ordering::Relaxed);
     }
 
-    /// Reads and writes so far.
+    /// Returns the numbers of reads and writes so far.
     pub fn calls(&self) -> (u64, u64) {
         let state = &self.state;
         (state.reads.load(Ordering::Relaxed), state.writes.load(Ordering::Relaxed))
@@ -137,8 +137,8 @@
     fn matches(&self, c: &etcd::Compare) -> bool {
         let mod_revision = self.values.get(&c.key).map_or(0, |v| v.mod_revision);
         match (c.result(), c.target(), &c.target_union) {
-            (CompareResult::Equal, CompareTarget::Mod, Some(TargetUnion::ModRevision(want))) => {
-                mod_revision == *want
+            (CompareResult::Equal, CompareTarget::Mod, Some(TargetUnion::ModRevision(rev))) => {
+                mod_revision == *rev
             }
             _ => false,
         }
@@ -161,7 +161,7 @@
         Ok(self.state.store.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// The reply to a write, unless replies are being lost.
+    /// Counts a write and returns its reply, or an error if replies are lost.
     fn finish_write<T>(&self, reply: T) -> Result<Response<T>, Status> {
         self.state.writes.fetch_add(1, Ordering::Relaxed);
         if self.state.mode.load(Ordering::Relaxed) == Mode::LoseReplies as u32 {
--- a/standin/src/lib.rs
+++ b/standin/src/lib.rs
@@ -1,5 +1,5 @@
-//! Small stand-ins for the systems a router meets: the key-value service, a model engine and a
-//! plain service. Each misbehaves on demand.
+//! Test doubles of the systems that a router talks to: the key-value service, a model engine and a
+//! plain service. The first two simulate faults on demand.
 
 pub mod engine;
 mod http;
--- a/standin/src/service.rs
+++ b/standin/src/service.rs
@@ -1,4 +1,4 @@
-//! A plain service that counts how often each call ran.
+//! A plain service that counts the runs of each call.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -22,14 +22,14 @@
 
 type Runs = Arc<Mutex<BTreeMap<Bytes, u32>>>;
 
-/// Shared by every replica of a service, as a database would be.
+/// Counts the runs of each call; all replicas of a service share it.
 #[derive(Clone, Debug, Default)]
 pub struct Counter {
     runs: Runs,
 }
 
 impl Counter {
-    /// How often each body ran.
+    /// Returns the number of runs by request body.
     pub fn runs(&self) -> BTreeMap<Bytes, u32> {
         self.runs.lock().map(|r| r.clone()).unwrap_or_default()
     }
@@ -44,21 +44,21 @@
     }
 }
 
-/// A running replica; dropping it breaks its connections.
+/// A running replica of the service; dropping it breaks its connections.
 pub struct Service {
-    /// Where it listens.
+    /// Address that the replica listens on.
     pub address: SocketAddr,
     task: JoinHandle<()>,
 }
 
 impl Service {
-    /// Starts a replica on a port of the loopback address (0: a free one).
+    /// Starts a replica on a port of the loopback address; port 0 selects a free one.
     ///
-    /// A call takes `work`, then is entered in `counter`.
+    /// Each call is counted in `counter` and then takes the time `work`.
     ///
     /// # Errors
     ///
-    /// If the port can't be bound.
+    /// Returns an error if the port can't be bound.
     pub async fn start(port: u16, work: Duration, counter: Counter) -> io::Result<Service> {
         let (listener, address) = http::listen(port).await?;
         let handle = move |request| handle(counter.clone(), work, request);
