--- a/router/tests/flags.rs
+++ b/router/tests/flags.rs
@@ -1,4 +1,4 @@
-//! The router's flags and environment.
+//! Tests of the router's settings, and of the decoders of request bodies and event streams.
 
 use std::process::Command;
 
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn wrong_settings_are_all_reported_together() {
+fn all_invalid_settings_are_reported_together() {
     // Act
     let output = router()
         .args(["--name", "a b", "--listen", "host:80", "--fast", "--peer-secret", "short"])
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn the_flag_wins_over_the_environment() {
+fn flag_overrides_environment() {
     let settings = Builder::default()
         .set("name", "flag")
         .env(|variable| {
@@ -60,16 +60,16 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// However a stream is cut into reads, the same events come out.
+    /// The decoded events must not depend on how a stream is divided into reads.
     #[test]
-    fn events_do_not_depend_on_reads(
+    fn events_do_not_depend_on_the_size_of_reads(
         events in proptest::collection::vec("[a-z{}\" ]{1,20}", 0..10),
-        cut in 1..7usize,
+        size in 1..7usize,
     ) {
         let text: String = events.iter().map(|e| format!("data: {e}\r\n\r\n")).collect();
         let mut decoder = Decoder::default();
         let mut found = Vec::new();
-        for part in text.as_bytes().chunks(cut) {
+        for part in text.as_bytes().chunks(size) {
             decoder.push(part);
             while let Some(event) = decoder.pop().expect("short events") {
                 found.push(String::from_utf8_lossy(&event).into_owned());
@@ -79,7 +79,7 @@
     }
 
     #[test]
-    fn no_bytes_make_the_decoders_panic(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
+    fn decoders_never_panic(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
         let mut decoder = Decoder::default();
         decoder.push(&bytes);
         while let Ok(Some(_)) = decoder.pop() {}
--- a/router/tests/path.rs
+++ b/router/tests/path.rs
@@ -1,4 +1,5 @@
-//! The whole path with real processes: entry, chat, stream, plain service, errors.
+//! Tests of requests through router processes: entry points, completions, streams, plain services
+//! and errors.
 
 mod support;
 
@@ -10,7 +11,7 @@
 use support::Site;
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_is_served_from_entry_to_done() {
+async fn request_is_served_through_the_entry_point() {
     // Arrange
     let site = Site::start(2, 1, Duration::ZERO).await;
     let routers = site.routers(2).await;
@@ -20,7 +21,7 @@
     let address = entry["addresses"][0]["address"].as_str().expect("an address");
     let address = address.parse().expect("an address");
     let streamed = support::chat(address, 20, true).await.expect("an answer");
-    let whole = support::chat(address, 20, false).await.expect("an answer");
+    let complete = support::chat(address, 20, false).await.expect("an answer");
     let prefix = entry["addresses"][0]["key_prefix"].as_str().expect("a prefix");
     let bid = support::bid(address, &format!("{prefix}1"), "{\"bid\":1}").await.expect("an answer");
 
@@ -28,16 +29,15 @@
     assert_eq!(streamed.status, 200);
     assert_eq!(streamed.streamed(), support::expected(20));
     assert!(streamed.is_done());
-    let content = whole.json()["choices"][0]["message"]["content"].clone();
+    let content = complete.json()["choices"][0]["message"]["content"].clone();
     assert_eq!(content.as_str(), Some(support::expected(20).as_str()));
     assert_eq!(bid.json()["ran"], 1);
 }
 
-/// A user sees a stream that goes on without a gap or a repeated word, although an engine broke
-/// in the middle of it. The engine's connection breaks after three tokens; the router takes the
-/// stream up at another engine from its offset.
+/// A stream must continue without a gap or a repeated token if its engine fails after three tokens:
+/// the router resumes it at another engine from the same offset.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stream_survives_each_way_an_engine_fails() {
+async fn stream_is_resumed_after_each_fault_of_an_engine() {
     for fault in [Fault::Crash, Fault::Silent, Fault::WrongId, Fault::Malformed, Fault::Truncated] {
         // Arrange
         let site = Site::start(2, 0, Duration::ZERO).await;
@@ -58,10 +58,10 @@
     }
 }
 
-/// A user sees a typed error and no `[DONE]` when every engine fails: a cut stream never looks
-/// whole.
+/// A stream that breaks off at the only engine must end with an error and without `[DONE]`, so that
+/// the caller does not take it for complete.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_cut_stream_never_looks_whole() {
+async fn truncated_stream_ends_with_an_error() {
     // Arrange
     let site = Site::start(1, 0, Duration::ZERO).await;
     let routers = site.routers(1).await;
@@ -82,15 +82,15 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn bad_requests_get_typed_errors() {
+async fn malformed_requests_get_errors() {
     // Arrange
     let site = Site::start(1, 1, Duration::ZERO).await;
     let routers = site.routers(1).await;
     let base = format!("http://{}", routers[0].callers);
     let url = format!("{base}/v1/chat/completions");
     let auth = support::bearer(support::ORG_KEY);
-    let right = ("authorization", auth.as_str());
-    let good = "{\"model\":\"m\",\"messages\":[]}";
+    let valid = ("authorization", auth.as_str());
+    let body = "{\"model\":\"m\",\"messages\":[]}";
     let large = "x".repeat(2 << 20);
     let bids = format!("{base}/v1/services/bids/confirm");
     let case = |url: &str, headers: &[(&'static str, &str)], body: &str| Case {
@@ -99,14 +99,14 @@
         body: body.to_owned(),
     };
     let cases = [
-        (case(&url, &[], good), 401, "unknown_key"),
-        (case(&url, &[right], "{"), 400, "bad_body"),
-        (case(&url, &[right], "{\"model\":\"other\"}"), 404, "unknown_target"),
-        (case(&url, &[right, ("x-class", "other")], good), 400, "unknown_class"),
-        (case(&url, &[right, ("x-idempotent", "maybe")], good), 400, "bad_header"),
-        (case(&url, &[right], &large), 413, "body_too_large"),
-        (case(&bids, &[right, ("idempotency-key", "mine")], "{}"), 400, "key_without_home"),
-        (case(&bids, &[right, ("idempotency-key", "r9.1.1~a")], "{}"), 502, "home_gone"),
+        (case(&url, &[], body), 401, "unknown_key"),
+        (case(&url, &[valid], "{"), 400, "bad_body"),
+        (case(&url, &[valid], "{\"model\":\"other\"}"), 404, "unknown_target"),
+        (case(&url, &[valid, ("x-class", "other")], body), 400, "unknown_class"),
+        (case(&url, &[valid, ("x-idempotent", "maybe")], body), 400, "bad_header"),
+        (case(&url, &[valid], &large), 413, "body_too_large"),
+        (case(&bids, &[valid, ("idempotency-key", "mine")], "{}"), 400, "key_without_home"),
+        (case(&bids, &[valid, ("idempotency-key", "r9.1.1~a")], "{}"), 502, "home_gone"),
     ];
 
     for (case, status, code) in cases {
@@ -121,10 +121,9 @@
     }
 }
 
-/// Neither an operator call without the token nor a peer message without the secret changes
-/// anything.
+/// Operator calls without the token and peer messages without the secret must have no effect.
 #[tokio::test(flavor = "multi_thread")]
-async fn strangers_change_nothing() {
+async fn unauthenticated_calls_have_no_effect() {
     // Arrange
     let site = Site::start(1, 0, Duration::ZERO).await;
     let routers = site.routers(2).await;
@@ -144,10 +143,10 @@
     let mut client = laburnumwheel_proto::peer::peer_client::PeerClient::connect(peers)
         .await
         .expect("a connection");
-    let stranger = client.send(envelope).await;
+    let unauthenticated = client.send(envelope).await;
 
     // Assert
     assert_eq!((without.status, wrong.status), (401, 401));
-    assert_eq!(stranger.map_err(|s| s.code()).err(), Some(tonic::Code::Unauthenticated));
+    assert_eq!(unauthenticated.map_err(|s| s.code()).err(), Some(tonic::Code::Unauthenticated));
     assert_eq!(support::serving_seen_by(&routers[1]).await, 2);
 }
--- a/router/tests/publish.rs
+++ b/router/tests/publish.rs
@@ -1,4 +1,4 @@
-//! Accepting configurations at the key-value service: lost replies, outages, racing operators.
+//! Tests of the publication of configurations with lost replies, outages and concurrent changes.
 
 mod support;
 
@@ -20,33 +20,33 @@
     Change { config, operation: operation.to_owned(), expected }
 }
 
-/// The reply to an operator's change is lost after the write took effect. Sending the same change
-/// again tells that it was accepted, and it stands in the history once.
+/// The reply to a change is lost after the write took effect. Publishing the same change again must
+/// report it as accepted and must not create another version.
 #[tokio::test]
-async fn a_lost_reply_is_settled_by_the_operation_id() {
+async fn lost_reply_is_resolved_by_the_operation_id() {
     // Arrange
     let site = Site::start(0, 1, Duration::ZERO).await;
     let kv = kv::Client::new(site.key_value.address).expect("an address");
-    let wanted = change(&site.config, "mine", None, 2);
+    let retried = change(&site.config, "mine", None, 2);
 
     // Act
     site.key_value.set_mode(Mode::LoseReplies);
-    let lost = publish::apply(&kv, &wanted).await;
+    let lost = publish::apply(&kv, &retried).await;
     site.key_value.set_mode(Mode::Up);
     let (root, _) = publish::read_root(&kv).await.expect("a root");
-    let again = publish::apply(&kv, &wanted).await;
+    let again = publish::apply(&kv, &retried).await;
 
     // Assert
     assert!(matches!(lost, Err(Error::Unavailable(_) | Error::OutcomeUnknown(..))), "{lost:?}");
-    let settled = matches!(again, Ok(Outcome::Accepted(2) | Outcome::Unchanged(2)));
-    assert!(settled, "{again:?}, root {root:?}");
+    let resolved = matches!(again, Ok(Outcome::Accepted(2) | Outcome::Unchanged(2)));
+    assert!(resolved, "{again:?}, root {root:?}");
     assert_eq!(publish::read_root(&kv).await.expect("a root").0.version, 2);
 }
 
-/// Two operators edit version 1 at the same time. One is accepted; the other hears of a conflict
-/// that names what the first changed, and changes nothing.
+/// Two operators change version 1 at the same time. One change must be accepted; the other must be
+/// refused with a conflict that lists the changed entries.
 #[tokio::test]
-async fn of_two_racing_operators_one_gets_a_conflict() {
+async fn concurrent_change_gets_a_conflict() {
     // Arrange
     let site = Site::start(0, 1, Duration::ZERO).await;
     let kv = kv::Client::new(site.key_value.address).expect("an address");
@@ -68,9 +68,9 @@
     assert_eq!(conflicts, vec!["organisation museo".to_owned()]);
 }
 
-/// The service is out: the operator hears that nothing was accepted.
+/// During an outage of the key-value service, the error must state that nothing was accepted.
 #[tokio::test]
-async fn an_outage_accepts_nothing() {
+async fn no_change_is_accepted_during_an_outage() {
     // Arrange
     let site = Site::start(0, 1, Duration::ZERO).await;
     let kv = kv::Client::new(site.key_value.address).expect("an address");
--- a/router/tests/support/mod.rs
+++ b/router/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A site of real router processes with stand-ins on loopback.
+//! Starts router processes, and the test doubles that they talk to, on the loopback address.
 #![allow(dead_code)]
 
 use std::io::BufRead;
@@ -32,7 +32,7 @@
 pub const ORG_KEY: &str = "key-of-museo";
 pub const OPERATOR: &str = "operator-token";
 pub const SECRET: &str = "peer-secret";
-const PAUSE: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A router process; killed when dropped.
 pub struct Process {
@@ -87,7 +87,7 @@
     assert!(status.success());
 }
 
-/// Stand-ins, with a configuration accepted.
+/// Running test doubles, with a published configuration that lists them.
 pub struct Site {
     pub key_value: KeyValue,
     pub engines: Vec<Engine>,
@@ -156,7 +156,7 @@
         publish::apply(&kv, &change).await.expect("accepted");
     }
 
-    /// Starts routers and waits until each sees all of them serving.
+    /// Starts routers and waits until each reports all of them as serving.
     pub async fn routers(&self, count: usize) -> Vec<Process> {
         let start = |i| Process::start(&format!("r{i}"), "a", self.key_value.address);
         let routers: Vec<Process> = (0..count).map(start).collect();
@@ -174,10 +174,10 @@
     )
 }
 
-/// Waits for a condition; the test runner's own limit ends a wait in vain.
+/// Waits for a condition, without a timeout other than the test runner's.
 pub async fn wait_for<F: Future<Output = bool>>(condition: impl Fn() -> F) {
     while !condition().await {
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -203,7 +203,7 @@
         String::from_utf8_lossy(&self.body).into_owned()
     }
 
-    /// Text of a stream's chunks.
+    /// Returns the concatenated text of a stream's chunks.
     pub fn streamed(&self) -> String {
         let text = self.text();
         let data = text.lines().filter_map(|l| l.strip_prefix("data: "));
@@ -222,7 +222,7 @@
     format!("Bearer {key}")
 }
 
-/// One call; `None` if the connection failed.
+/// Makes one call; returns `None` if the connection failed.
 pub async fn call(
     method: Method,
     url: &str,
@@ -263,7 +263,7 @@
     call(Method::GET, &url, &[], "").await.map(|a| a.json()).unwrap_or_default()
 }
 
-/// What the engine stand-in writes for so many tokens.
+/// Returns the text that an engine generates for a number of tokens.
 pub fn expected(tokens: u32) -> String {
     (0..tokens).map(|n| format!("{n} ")).collect()
 }
