--- a/router/tests/path.rs
+++ b/router/tests/path.rs
@@ -20,10 +20,11 @@
     let entry = support::entry(routers[0].callers).await;
     let address = entry["addresses"][0]["address"].as_str().expect("an address");
     let address = address.parse().expect("an address");
-    let streamed = support::chat(address, 20, true).await.expect("an answer");
-    let complete = support::chat(address, 20, false).await.expect("an answer");
+    let streamed = support::chat(address, 20, true).await.expect("a response");
+    let complete = support::chat(address, 20, false).await.expect("a response");
     let prefix = entry["addresses"][0]["key_prefix"].as_str().expect("a prefix");
-    let bid = support::bid(address, &format!("{prefix}1"), "{\"bid\":1}").await.expect("an answer");
+    let bid =
+        support::bid(address, &format!("{prefix}1"), "{\"bid\":1}").await.expect("a response");
 
     // Assert
     assert_eq!(streamed.status, 200);
@@ -45,15 +46,15 @@
         site.engines[0].set_fault(fault);
 
         // Act
-        let mut answers = Vec::new();
+        let mut responses = Vec::new();
         for _ in 0..6 {
-            answers.push(support::chat(routers[0].callers, 30, true).await.expect("an answer"));
+            responses.push(support::chat(routers[0].callers, 30, true).await.expect("a response"));
         }
 
         // Assert
-        for answer in answers {
-            assert_eq!(answer.streamed(), support::expected(30), "{fault:?}");
-            assert!(answer.is_done(), "{fault:?}");
+        for response in responses {
+            assert_eq!(response.streamed(), support::expected(30), "{fault:?}");
+            assert!(response.is_done(), "{fault:?}");
         }
     }
 }
@@ -68,11 +69,11 @@
     site.engines[0].set_fault(Fault::Truncated);
 
     // Act
-    let answer = support::chat(routers[0].callers, 200, true).await.expect("an answer");
+    let response = support::chat(routers[0].callers, 200, true).await.expect("a response");
 
     // Assert
-    assert!(!answer.is_done());
-    assert!(answer.text().contains("\"type\":\"incomplete\""), "{}", answer.text());
+    assert!(!response.is_done());
+    assert!(response.text().contains("\"type\":\"incomplete\""), "{}", response.text());
 }
 
 struct Case {
@@ -112,12 +113,12 @@
     for (case, status, code) in cases {
         // Act
         let headers: Vec<_> = case.headers.iter().map(|(n, v)| (*n, v.as_str())).collect();
-        let answer = support::call(Method::POST, &case.url, &headers, &case.body).await;
-        let answer = answer.expect("an answer");
+        let response = support::call(Method::POST, &case.url, &headers, &case.body).await;
+        let response = response.expect("a response");
 
         // Assert
-        assert_eq!(answer.status, status, "{code}: {}", answer.text());
-        assert_eq!(answer.json()["error"]["code"], code);
+        assert_eq!(response.status, status, "{code}: {}", response.text());
+        assert_eq!(response.json()["error"]["code"], code);
     }
 }
 
@@ -137,9 +138,9 @@
     };
 
     // Act
-    let without = support::call(Method::POST, &url, &[], "").await.expect("an answer");
+    let without = support::call(Method::POST, &url, &[], "").await.expect("a response");
     let wrong = [("authorization", "Bearer wrong-token")];
-    let wrong = support::call(Method::POST, &url, &wrong, "").await.expect("an answer");
+    let wrong = support::call(Method::POST, &url, &wrong, "").await.expect("a response");
     let mut client = laburnumwheel_proto::peer::peer_client::PeerClient::connect(peers)
         .await
         .expect("a connection");
--- a/router/tests/rolling.rs
+++ b/router/tests/rolling.rs
@@ -91,21 +91,22 @@
             call += 1;
             let counter = if call % 3 == 0 {
                 let body = format!("{{\"bid\":\"{number}-{call}\"}}");
-                let answer = support::bid(first, &format!("{prefix}{number}-{call}"), &body).await;
-                counter_for(answer.map(|a| (a.status, a.json()["ran"] == 1)), &counts)
+                let response =
+                    support::bid(first, &format!("{prefix}{number}-{call}"), &body).await;
+                counter_for(response.map(|a| (a.status, a.json()["ran"] == 1)), &counts)
             } else {
-                let answer = support::chat(first, 40, true).await;
+                let response = support::chat(first, 40, true).await;
                 let complete =
-                    |a: &support::Answer| a.is_done() && a.streamed() == support::expected(40);
-                counter_for(answer.map(|a| (a.status, complete(&a))), &counts)
+                    |a: &support::Response| a.is_done() && a.streamed() == support::expected(40);
+                counter_for(response.map(|a| (a.status, complete(&a))), &counts)
             };
             counter.fetch_add(1, Ordering::Relaxed);
         }
     }
 }
 
-fn counter_for(answer: Option<(u16, bool)>, counts: &Counts) -> &AtomicU64 {
-    match answer {
+fn counter_for(response: Option<(u16, bool)>, counts: &Counts) -> &AtomicU64 {
+    match response {
         None => &counts.interrupted,
         Some((200, true)) => &counts.complete,
         Some((200, false)) => &counts.wrong,
--- a/router/tests/support/mod.rs
+++ b/router/tests/support/mod.rs
@@ -183,18 +183,18 @@
 
 pub async fn serving_seen_by(router: &Process) -> usize {
     let url = format!("http://{}/admin/members", router.operators);
-    let answer = call(Method::GET, &url, &[("authorization", &bearer(OPERATOR))], "").await;
-    let members: Value = answer.map(|a| a.json()).unwrap_or_default();
+    let response = call(Method::GET, &url, &[("authorization", &bearer(OPERATOR))], "").await;
+    let members: Value = response.map(|a| a.json()).unwrap_or_default();
     let list = members.as_array().cloned().unwrap_or_default();
     list.iter().filter(|m| m["state"] == "serving" && m["verdict"] == "alive").count()
 }
 
-pub struct Answer {
+pub struct Response {
     pub status: u16,
     pub body: Bytes,
 }
 
-impl Answer {
+impl Response {
     pub fn json(&self) -> Value {
         serde_json::from_slice(&self.body).unwrap_or_default()
     }
@@ -228,7 +228,7 @@
     url: &str,
     headers: &[(&str, &str)],
     body: &str,
-) -> Option<Answer> {
+) -> Option<Response> {
     let client: legacy::Client<HttpConnector, Full<Bytes>> =
         legacy::Client::builder(TokioExecutor::new()).build_http();
     let mut request = Request::builder().method(method).uri(url);
@@ -239,10 +239,10 @@
     let response = client.request(request).await.ok()?;
     let status = response.status().as_u16();
     let body = response.into_body().collect().await.ok()?.to_bytes();
-    Some(Answer { status, body })
+    Some(Response { status, body })
 }
 
-pub async fn chat(router: SocketAddr, tokens: u32, stream: bool) -> Option<Answer> {
+pub async fn chat(router: SocketAddr, tokens: u32, stream: bool) -> Option<Response> {
     let messages = json!([{ "role": "user", "content": "hello" }]);
     let body =
         json!({ "model": "m", "messages": messages, "stream": stream, "max_tokens": tokens });
@@ -251,7 +251,7 @@
     call(Method::POST, &url, &[("authorization", &auth)], &body.to_string()).await
 }
 
-pub async fn bid(router: SocketAddr, key: &str, body: &str) -> Option<Answer> {
+pub async fn bid(router: SocketAddr, key: &str, body: &str) -> Option<Response> {
     let url = format!("http://{router}/v1/services/bids/confirm");
     let auth = bearer(ORG_KEY);
     let headers = [("authorization", auth.as_str()), ("idempotency-key", key)];
