--- a/core/src/config/mod.rs
+++ b/core/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! The configuration that operators write: classes, upstreams, organisations.
+//! The configuration that operators write: request classes, upstreams and organisations.
 
 mod parse;
 pub mod shard;
@@ -30,67 +30,67 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize, Display)]
 pub struct OrgKey(pub u32);
 
-/// A request class: a latency target and a priority.
+/// A request class: latency targets and a priority.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Class {
     /// Unique name.
     pub name: String,
     /// Priority tier; 0 is the highest.
     pub tier: u8,
-    /// Never shed or preempted for a lower tier.
+    /// Whether its requests are exempt from shedding and preemption.
     pub protected: bool,
-    /// Target for the first token, from arrival.
+    /// Target time from arrival to the first token.
     pub first_token: Span,
-    /// Target for the whole answer, from arrival.
+    /// Target time from arrival to the end of the answer.
     pub finish: Span,
-    /// Longest useful wait in the queue; later the request is refused as not run.
+    /// Longest time in the queue, after which the request is refused as not run.
     pub patience: Span,
-    /// Guaranteed share of dispatched tokens while the class waits, in thousandths.
+    /// Guaranteed share of dispatched tokens while requests of the class wait, in thousandths.
     pub trickle: u32,
 }
 
-/// What the members of an upstream group are.
+/// Kind of the upstreams in a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, Display)]
 pub enum Kind {
     /// A model engine that streams tokens.
     #[display("engine")]
     Engine,
-    /// A plain service with whole answers.
+    /// A plain service that returns whole answers.
     #[display("service")]
     Service,
 }
 
-/// What the engines of a group shall have loaded, and their role.
+/// Desired state of the engines in a group.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Deployment {
     /// Version of the models.
     pub version: String,
-    /// Adapters, in order.
+    /// Names of the adapters, in order.
     pub adapters: Vec<String>,
     /// Role, such as prefill or decode.
     pub role: String,
 }
 
-/// Replicas that serve the same models or the same plain service.
+/// A group of replicas that serve the same models or the same plain service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Group {
-    /// Unique name; for a plain service the name callers use.
+    /// Unique name; callers address a plain service by it.
     pub name: String,
     /// Engines or plain services.
     pub kind: Kind,
     /// Names of the models it serves; empty for a plain service.
     pub models: Vec<String>,
-    /// Requests a replica runs at once, until it reports its own number.
+    /// Number of concurrent requests of a replica, until it reports its own number.
     pub slots: u32,
-    /// A refusal (status 429 or 503) proves that the request did not run.
+    /// Whether a refusal (status 429 or 503) guarantees that the request did not run.
     pub safe_refusals: bool,
-    /// Replicas refuse an order with an old fencing number.
+    /// Whether replicas refuse orders with an old fencing token.
     pub checks_fencing: bool,
-    /// What replicas are ordered to have; the default orders nothing.
+    /// State that replicas are ordered to reach; the default orders nothing.
     pub deployment: Deployment,
 }
 
-/// One replica.
+/// A replica of a group.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Upstream {
     /// Unique name.
@@ -99,28 +99,28 @@
     pub group: String,
     /// IP address and port.
     pub address: String,
-    /// Failure domain it runs in.
+    /// Failure domain of the replica.
     pub failure_domain: String,
 }
 
-/// A customer with a key and limits.
+/// A customer with a bearer key and limits.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Organisation {
     /// Unique name.
     pub name: String,
-    /// BLAKE3 hash of its bearer key, 64 hexadecimal digits.
+    /// BLAKE3 hash of its bearer key, as 64 hexadecimal digits.
     pub key_hash: String,
-    /// Class of requests that name none.
+    /// Class of requests that do not name one.
     pub default_class: String,
     /// Requests a second over all routers; 0 means no limit.
     pub requests_per_second: u32,
     /// Tokens a second over all routers; 0 means no limit.
     pub tokens_per_second: u32,
-    /// Weight in the fair share within a class; at least 1.
+    /// Weight in the fair queueing within a class; at least 1.
     pub weight: u32,
 }
 
-/// A checked configuration.
+/// A validated configuration.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Config {
     /// Request classes.
@@ -133,10 +133,10 @@
     pub organisations: Vec<Organisation>,
 }
 
-/// The configuration in force, with look-up tables.
+/// The configuration in force, with lookup tables.
 ///
-/// An entry keeps its key when the configuration changes, and a removed one keeps its values
-/// under that key, so that requests in progress end by the rules they began with.
+/// An entry keeps its key when the configuration changes. The values of a removed entry stay
+/// available under its key, so that requests in progress finish under the rules of their start.
 #[derive(Clone, Debug, Default)]
 pub struct Index {
     classes: Vec<Class>,
@@ -150,7 +150,7 @@
     removed: Removed,
 }
 
-/// Names that an earlier configuration had, with the keys they would get again.
+/// Names of removed entries with their keys, which an entry of the same name gets again.
 #[derive(Clone, Debug, Default)]
 struct Removed {
     classes: BTreeMap<String, ClassKey>,
@@ -158,7 +158,8 @@
     organisations: BTreeMap<String, OrgKey>,
 }
 
-fn place<T, K: Copy>(
+/// Replaces the value of an existing key, or appends the value and returns its new key.
+fn store<T, K: Copy>(
     values: &mut Vec<T>,
     value: T,
     old: Option<K>,
@@ -188,13 +189,13 @@
         for class in &config.classes {
             let old = self.removed.classes.remove(&class.name);
             let values = &mut self.classes;
-            let key = place(values, class.clone(), old, |k| k.0.into(), |i| ClassKey(i as u16));
+            let key = store(values, class.clone(), old, |k| k.0.into(), |i| ClassKey(i as u16));
             self.class_by_name.insert(class.name.clone(), key);
         }
         for group in &config.groups {
             let old = self.removed.groups.remove(&group.name);
             let values = &mut self.groups;
-            let key = place(values, group.clone(), old, |k| k.0.into(), |i| GroupKey(i as u16));
+            let key = store(values, group.clone(), old, |k| k.0.into(), |i| GroupKey(i as u16));
             self.group_by_name.insert(group.name.clone(), key);
             for model in &group.models {
                 self.group_by_model.insert(model.clone(), key);
@@ -203,9 +204,10 @@
         for org in &config.organisations {
             let old = self.removed.organisations.remove(&org.name);
             let values = &mut self.organisations;
-            let key = place(values, org.clone(), old, |k| k.0 as usize, |i| OrgKey(i as u32));
+            let key = store(values, org.clone(), old, |k| k.0 as usize, |i| OrgKey(i as u32));
             self.org_by_name.insert(org.name.clone(), key);
-            // The parser lets only hashes through; another writer's entry could never match anyway.
+            // The parser accepts only valid hashes. An invalid one of another writer is skipped,
+            // because no key could match it.
             if let Ok(hash) = blake3::Hash::from_hex(&org.key_hash) {
                 self.org_by_hash.insert(*hash.as_bytes(), key);
             }
@@ -227,12 +229,12 @@
         &self.organisations[key.0 as usize]
     }
 
-    /// Keys of the groups, those removed included.
+    /// Keys of all groups, including removed ones.
     pub fn group_keys(&self) -> impl Iterator<Item = GroupKey> + use<> {
         (0..self.groups.len()).map(|i| GroupKey(i as u16))
     }
 
-    /// Keys of the classes, those removed included.
+    /// Keys of all classes, including removed ones.
     pub fn class_keys(&self) -> impl Iterator<Item = ClassKey> + use<> {
         (0..self.classes.len()).map(|i| ClassKey(i as u16))
     }
@@ -257,15 +259,15 @@
         self.org_by_name.get(name).copied()
     }
 
-    /// Models in force, in name order.
+    /// Names of all models in force, in order.
     pub fn models(&self) -> impl Iterator<Item = &str> {
         self.group_by_model.keys().map(String::as_str)
     }
 
     /// The organisation whose bearer key is `key`.
     ///
-    /// The look-up compares hashes of the key, never the key, so its timing tells nothing about
-    /// a stored key.
+    /// The lookup compares hashes instead of keys, so that its duration reveals nothing about a
+    /// stored key.
     pub fn organisation_of_key(&self, key: &str) -> Option<OrgKey> {
         self.org_by_hash.get(blake3::hash(key.as_bytes()).as_bytes()).copied()
     }
--- a/core/src/config/parse.rs
+++ b/core/src/config/parse.rs
@@ -1,4 +1,4 @@
-//! Reads the base file and a site's overlay, and checks them as a whole.
+//! Parses the base file and a site's overlay, and validates the merged configuration.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -21,10 +21,12 @@
 use super::Upstream;
 use crate::time::Span;
 
-const MAX_TEXT: usize = 256;
+/// Upper bound on the length of a string, in bytes.
+const MAX_TEXT_BYTES: usize = 256;
+/// Upper bound on durations and the default of `finish_ms`.
 const DAY_MS: i64 = 86_400_000;
 
-/// One configuration file: the name to report and its text.
+/// A configuration file.
 #[derive(Clone, Debug)]
 pub struct Source {
     /// Name shown in findings.
@@ -33,21 +35,21 @@
     pub text: String,
 }
 
-/// One thing wrong with a configuration file.
+/// An error in a configuration file.
 #[derive(Clone, Debug, PartialEq, Eq, Display)]
 #[display("{file}:{line}:{column}: {message}")]
 pub struct Finding {
-    /// File it stands in.
+    /// Name of the file.
     pub file: String,
     /// Line, from 1.
     pub line: usize,
     /// Column in characters, from 1.
     pub column: usize,
-    /// What is wrong.
+    /// Description of the error.
     pub message: String,
 }
 
-/// Everything wrong with a configuration, in file order.
+/// All errors in a configuration, in order of file and position.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub struct Findings(pub Vec<Finding>);
 
@@ -63,17 +65,19 @@
     }
 }
 
-type Place = (usize, Range<usize>);
+/// Number of a source and a byte range in its text.
+type Location = (usize, Range<usize>);
 
-/// A value of a field, or the text of an entry, with the place it was written.
+/// Value of a field with its location.
 #[derive(Clone)]
 struct Field {
     item: Item,
-    place: Place,
+    location: Location,
 }
 
+/// Merged fields of an entry with the location of its first occurrence.
 struct Entry {
-    place: Place,
+    location: Location,
     fields: BTreeMap<String, Field>,
 }
 
@@ -82,20 +86,20 @@
     findings: Vec<Finding>,
 }
 
-/// Reads `sources` in order, each overriding the ones before it, entry by entry.
+/// Parses `sources` in order; entries of later files override those of earlier ones.
 ///
-/// An entry of a later file with the same `name` replaces single fields of the earlier one.
+/// An entry with the same `name` as one of an earlier file replaces only the fields that it has.
 ///
 /// # Errors
 ///
-/// All findings of all files together; nothing is applied by halves.
+/// The findings of all files together; there is no partial result.
 pub fn parse(sources: &[Source]) -> Result<Config, Findings> {
     let mut reader = Reader { sources, findings: Vec::new() };
     let mut tables: BTreeMap<&'static str, BTreeMap<String, Entry>> = BTreeMap::new();
     for (i, source) in sources.iter().enumerate() {
         match Document::parse(source.text.as_str()) {
             Ok(doc) => reader.merge(i, doc.as_table(), &mut tables),
-            Err(e) => reader.find(&(i, e.span().unwrap_or(0..0)), e.message().to_owned()),
+            Err(e) => reader.report(&(i, e.span().unwrap_or(0..0)), e.message().to_owned()),
         }
     }
     let config = reader.config(&mut tables);
@@ -106,10 +110,10 @@
 const KINDS: [&str; 4] = ["class", "group", "upstream", "organisation"];
 
 impl Reader<'_> {
-    fn find(&mut self, place: &Place, message: String) {
-        let source = &self.sources[place.0];
-        let at = place.1.start.min(source.text.len());
-        let before = source.text.get(..at).unwrap_or(&source.text);
+    fn report(&mut self, location: &Location, message: String) {
+        let source = &self.sources[location.0];
+        let offset = location.1.start.min(source.text.len());
+        let before = source.text.get(..offset).unwrap_or(&source.text);
         let line = before.matches('\n').count() + 1;
         let column = before.rsplit('\n').next().unwrap_or("").chars().count() + 1;
         self.findings.push(Finding { file: source.name.clone(), line, column, message });
@@ -122,13 +126,13 @@
         tables: &mut BTreeMap<&'static str, BTreeMap<String, Entry>>,
     ) {
         for (key, item) in root.iter() {
-            let place = (file, item.span().unwrap_or(0..0));
+            let location = (file, item.span().unwrap_or(0..0));
             let Some(kind) = KINDS.iter().find(|k| **k == key) else {
-                self.find(&place, format!("unknown table `{key}`"));
+                self.report(&location, format!("unknown table `{key}`"));
                 continue;
             };
             let Some(list) = item.as_array_of_tables() else {
-                self.find(&place, format!("`{key}` must be written as [[{key}]]"));
+                self.report(&location, format!("`{key}` must be written as [[{key}]]"));
                 continue;
             };
             let mut seen = BTreeSet::new();
@@ -146,21 +150,21 @@
         entries: &mut BTreeMap<String, Entry>,
         seen: &mut BTreeSet<String>,
     ) {
-        let place = (file, table.span().unwrap_or(0..0));
+        let location = (file, table.span().unwrap_or(0..0));
         let Some(name) = table.get("name").and_then(Item::as_str) else {
-            self.find(&place, format!("{kind} without a `name`"));
+            self.report(&location, format!("{kind} without a `name`"));
             return;
         };
         if !seen.insert(name.to_owned()) {
-            self.find(&place, format!("{kind} `{name}` stands twice in this file"));
+            self.report(&location, format!("{kind} `{name}` is defined twice in this file"));
             return;
         }
         let entry = entries
             .entry(name.to_owned())
-            .or_insert_with(|| Entry { place: place.clone(), fields: BTreeMap::new() });
+            .or_insert_with(|| Entry { location: location.clone(), fields: BTreeMap::new() });
         for (key, item) in table.iter() {
-            let place = (file, item.span().unwrap_or_else(|| place.1.clone()));
-            entry.fields.insert(key.to_owned(), Field { item: item.clone(), place });
+            let location = (file, item.span().unwrap_or_else(|| location.1.clone()));
+            entry.fields.insert(key.to_owned(), Field { item: item.clone(), location });
         }
     }
 
@@ -198,50 +202,56 @@
             patience: self.millis(&mut e, "patience_ms", Some(30_000)),
             trickle: self.int(&mut e, "trickle_permille", Some(20), 1, 100) as u32,
         };
-        self.unknown(e);
+        self.report_unknown(e);
         class
     }
 
     fn group(&mut self, mut e: Entry, models: &mut BTreeMap<String, String>) -> Group {
-        let kind_place = e.fields.get("kind").map(|f| f.place.clone());
+        let kind_location = e.fields.get("kind").map(|f| f.location.clone());
         let kind = match self.text(&mut e, "kind", Some("engine")).as_str() {
             "engine" => Kind::Engine,
             "service" => Kind::Service,
             other => {
-                let place = kind_place.unwrap_or_else(|| e.place.clone());
-                self.find(&place, format!("kind is `{other}`, not engine or service"));
+                let location = kind_location.unwrap_or_else(|| e.location.clone());
+                self.report(&location, format!("kind is `{other}`, not engine or service"));
                 Kind::Engine
             }
         };
-        let models_place = e.fields.get("models").map_or(e.place.clone(), |f| f.place.clone());
+        let models_location =
+            e.fields.get("models").map_or(e.location.clone(), |f| f.location.clone());
         let group = Group {
             name: self.text(&mut e, "name", None),
             kind,
-            models: self.texts(&mut e, "models"),
+            models: self.strings(&mut e, "models"),
             slots: self.int(&mut e, "slots", Some(8), 1, 4096) as u32,
             safe_refusals: self.flag(&mut e, "safe_refusals", false),
             checks_fencing: self.flag(&mut e, "checks_fencing", false),
             deployment: Deployment {
                 version: self.text(&mut e, "version", Some("")),
-                adapters: self.texts(&mut e, "adapters"),
+                adapters: self.strings(&mut e, "adapters"),
                 role: self.text(&mut e, "role", Some("")),
             },
         };
         if kind == Kind::Engine && group.models.is_empty() {
-            self.find(&models_place, format!("engine group `{}` serves no model", group.name));
+            self.report(&models_location, format!("engine group `{}` serves no model", group.name));
         }
         for model in &group.models {
             if let Some(other) = models.insert(model.clone(), group.name.clone()) {
-                self.find(&models_place, format!("model `{model}` is served by `{other}` too"));
+                self.report(
+                    &models_location,
+                    format!("model `{model}` is served by `{other}` too"),
+                );
             }
         }
-        self.unknown(e);
+        self.report_unknown(e);
         group
     }
 
     fn upstream(&mut self, mut e: Entry, groups: &BTreeSet<String>) -> Upstream {
-        let address_place = e.fields.get("address").map_or(e.place.clone(), |f| f.place.clone());
-        let group_place = e.fields.get("group").map_or(e.place.clone(), |f| f.place.clone());
+        let address_location =
+            e.fields.get("address").map_or(e.location.clone(), |f| f.location.clone());
+        let group_location =
+            e.fields.get("group").map_or(e.location.clone(), |f| f.location.clone());
         let upstream = Upstream {
             name: self.text(&mut e, "name", None),
             group: self.text(&mut e, "group", None),
@@ -251,12 +261,12 @@
         if !upstream.address.is_empty() && upstream.address.parse::<std::net::SocketAddr>().is_err()
         {
             let message = format!("`{}` is not an IP address and port", upstream.address);
-            self.find(&address_place, message);
+            self.report(&address_location, message);
         }
         if !upstream.group.is_empty() && !groups.contains(&upstream.group) {
-            self.find(&group_place, format!("no group is called `{}`", upstream.group));
+            self.report(&group_location, format!("no group is called `{}`", upstream.group));
         }
-        self.unknown(e);
+        self.report_unknown(e);
         upstream
     }
 
@@ -266,9 +276,10 @@
         classes: &BTreeSet<String>,
         hashes: &mut BTreeMap<String, String>,
     ) -> Organisation {
-        let hash_place = e.fields.get("key_hash").map_or(e.place.clone(), |f| f.place.clone());
-        let class_place =
-            e.fields.get("default_class").map_or(e.place.clone(), |f| f.place.clone());
+        let hash_location =
+            e.fields.get("key_hash").map_or(e.location.clone(), |f| f.location.clone());
+        let class_location =
+            e.fields.get("default_class").map_or(e.location.clone(), |f| f.location.clone());
         let org = Organisation {
             name: self.text(&mut e, "name", None),
             key_hash: self.text(&mut e, "key_hash", None).to_ascii_lowercase(),
@@ -279,79 +290,83 @@
                 as u32,
             weight: self.int(&mut e, "weight", Some(1), 1, 1000) as u32,
         };
-        let hex = org.key_hash.len() == 64 && org.key_hash.bytes().all(|b| b.is_ascii_hexdigit());
-        if !hex {
-            self.find(&hash_place, "key_hash must be 64 hexadecimal digits".to_owned());
+        let is_hex =
+            org.key_hash.len() == 64 && org.key_hash.bytes().all(|b| b.is_ascii_hexdigit());
+        if !is_hex {
+            self.report(&hash_location, "key_hash must be 64 hexadecimal digits".to_owned());
         } else if let Some(other) = hashes.insert(org.key_hash.clone(), org.name.clone()) {
-            self.find(&hash_place, format!("same key as organisation `{other}`"));
+            self.report(&hash_location, format!("same key as organisation `{other}`"));
         }
         if !org.default_class.is_empty() && !classes.contains(&org.default_class) {
-            self.find(&class_place, format!("no class is called `{}`", org.default_class));
+            self.report(&class_location, format!("no class is called `{}`", org.default_class));
         }
-        self.unknown(e);
+        self.report_unknown(e);
         org
     }
 
-    fn unknown(&mut self, entry: Entry) {
+    fn report_unknown(&mut self, entry: Entry) {
         for (key, field) in entry.fields {
-            self.find(&field.place, format!("unknown setting `{key}`"));
+            self.report(&field.location, format!("unknown setting `{key}`"));
         }
     }
 
-    fn missing(&mut self, entry: &Entry, key: &str) {
-        self.find(&entry.place, format!("`{key}` is missing"));
+    fn report_missing(&mut self, entry: &Entry, key: &str) {
+        self.report(&entry.location, format!("`{key}` is missing"));
     }
 
     fn text(&mut self, entry: &mut Entry, key: &str, default: Option<&str>) -> String {
         let Some(field) = entry.fields.remove(key) else {
             if default.is_none() {
-                self.missing(entry, key);
+                self.report_missing(entry, key);
             }
             return default.unwrap_or("").to_owned();
         };
         match field.item.as_str() {
-            Some(text) if !text.is_empty() && text.len() <= MAX_TEXT => text.to_owned(),
+            Some(text) if !text.is_empty() && text.len() <= MAX_TEXT_BYTES => text.to_owned(),
             Some(_) => {
-                self.find(&field.place, format!("`{key}` must have 1 to {MAX_TEXT} bytes"));
+                self.report(
+                    &field.location,
+                    format!("`{key}` must have 1 to {MAX_TEXT_BYTES} bytes"),
+                );
                 String::new()
             }
             None => {
-                self.find(&field.place, format!("`{key}` must be a string"));
+                self.report(&field.location, format!("`{key}` must be a string"));
                 String::new()
             }
         }
     }
 
-    fn texts(&mut self, entry: &mut Entry, key: &str) -> Vec<String> {
+    fn strings(&mut self, entry: &mut Entry, key: &str) -> Vec<String> {
         let Some(field) = entry.fields.remove(key) else {
             return Vec::new();
         };
         let Some(array) = field.item.as_array() else {
-            self.find(&field.place, format!("`{key}` must be an array of strings"));
+            self.report(&field.location, format!("`{key}` must be an array of strings"));
             return Vec::new();
         };
-        let texts: Vec<_> = array.iter().filter_map(|v| v.as_str()).map(str::to_owned).collect();
-        if texts.len() != array.len() {
-            self.find(&field.place, format!("`{key}` must hold only strings"));
+        let strings: Vec<_> = array.iter().filter_map(|v| v.as_str()).map(str::to_owned).collect();
+        if strings.len() != array.len() {
+            self.report(&field.location, format!("`{key}` must hold only strings"));
         }
-        texts
+        strings
     }
 
     fn int(&mut self, e: &mut Entry, key: &str, default: Option<i64>, min: i64, max: i64) -> i64 {
         let Some(field) = e.fields.remove(key) else {
             if default.is_none() {
-                self.missing(e, key);
+                self.report_missing(e, key);
             }
             return default.unwrap_or(min);
         };
         match field.item.as_integer() {
             Some(n) if (min..=max).contains(&n) => n,
             Some(n) => {
-                self.find(&field.place, format!("`{key}` is {n}, not {min} to {max}"));
+                self.report(&field.location, format!("`{key}` is {n}, not {min} to {max}"));
                 min
             }
             None => {
-                self.find(&field.place, format!("`{key}` must be a whole number"));
+                self.report(&field.location, format!("`{key}` must be a whole number"));
                 min
             }
         }
@@ -368,7 +383,7 @@
         match field.item.as_bool() {
             Some(flag) => flag,
             None => {
-                self.find(&field.place, format!("`{key}` must be true or false"));
+                self.report(&field.location, format!("`{key}` must be true or false"));
                 default
             }
         }
--- a/core/src/config/shard.rs
+++ b/core/src/config/shard.rs
@@ -1,9 +1,9 @@
-//! The stored form of a configuration: immutable shards under their content hashes, and a small
-//! root that names them.
+//! Stored form of a configuration: immutable shards under their content hashes, and a small root
+//! that references them.
 //!
-//! 18,000 organisations do not fit one value of the key-value service, and one changed
-//! organisation must not cost every router the whole configuration. Organisations are spread over
-//! shards by a hash of their name, so a change rewrites one shard.
+//! 18,000 organisations do not fit into one value of the key-value service, and a change of one
+//! organisation must not make every router fetch the whole configuration. Organisations are
+//! distributed over shards by a hash of their name, so such a change rewrites one shard.
 
 use std::collections::BTreeMap;
 
@@ -16,56 +16,58 @@
 use super::Organisation;
 use crate::rendezvous;
 
-/// Number of shards that organisations are spread over.
+/// Number of shards over which organisations are distributed.
 pub const ORG_SHARD_COUNT: u32 = 1024;
 
-/// Largest value the key-value service takes, in bytes.
+/// Largest value that the key-value service accepts, in bytes.
 pub const MAX_VALUE_BYTES: usize = 1_000_000;
 
-/// Content hash of a shard, the first 128 bits of BLAKE3 in hexadecimal.
+/// Content hash of a shard: the first 128 bits of its BLAKE3 hash, in hexadecimal.
 pub type Hash = String;
 
-/// The root of a configuration version; accepted when its compare-and-swap succeeds.
+/// Root of a configuration version, which is accepted when its compare-and-swap succeeds.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Root {
     /// Version, 1 for the first; each accepted change adds one.
     pub version: u64,
-    /// Names the change, so that its author can tell after a lost reply whether it was accepted.
+    /// Identifies the change, so that its author can tell whether it was accepted if the reply is
+    /// lost.
     pub operation: String,
-    /// Shards by part: 0 has classes, groups and upstreams, the others organisations.
+    /// Hashes of shards by part: part 0 has classes, groups and upstreams, the others
+    /// organisations.
     pub shards: BTreeMap<u32, Hash>,
 }
 
-/// What changed between two roots, for a peer that has the older one.
+/// Difference between two roots, for a peer that has the older one.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
-    /// Version it leads from; 0 if it stands for the whole root.
+    /// Version of the older root; 0 if the change contains the whole newer root.
     pub from: u64,
-    /// Version it leads to.
+    /// Version of the newer root.
     pub version: u64,
-    /// Operation of that version.
+    /// Operation of the newer root.
     pub operation: String,
-    /// Parts with a new shard.
+    /// Parts with a new or changed shard.
     pub set: BTreeMap<u32, Hash>,
-    /// Parts without a shard now.
+    /// Parts whose shard was removed.
     pub unset: Vec<u32>,
 }
 
 impl Root {
-    /// What leads from `old` to this root.
+    /// The change from `old` to this root.
     pub fn change_from(&self, old: &Root) -> Change {
-        let new = self.shards.iter().filter(|(part, hash)| old.shards.get(part) != Some(hash));
-        let gone = old.shards.keys().filter(|part| !self.shards.contains_key(part));
+        let set = self.shards.iter().filter(|(part, hash)| old.shards.get(part) != Some(hash));
+        let removed = old.shards.keys().filter(|part| !self.shards.contains_key(part));
         Change {
             from: old.version,
             version: self.version,
             operation: self.operation.clone(),
-            set: new.map(|(part, hash)| (*part, hash.clone())).collect(),
-            unset: gone.copied().collect(),
+            set: set.map(|(part, hash)| (*part, hash.clone())).collect(),
+            unset: removed.copied().collect(),
         }
     }
 
-    /// The root that `change` leads to; `None` if it leads from another version.
+    /// Applies `change` to this root; `None` if it starts from another version.
     pub fn apply(&self, change: &Change) -> Option<Root> {
         if change.from != 0 && change.from != self.version {
             return None;
@@ -78,7 +80,7 @@
     }
 }
 
-/// A configuration cut into values for the key-value service.
+/// A configuration split into values for the key-value service.
 #[derive(Clone, Debug)]
 pub struct Shards {
     /// Hashes by part, as in [`Root::shards`].
@@ -87,19 +89,19 @@
     pub contents: BTreeMap<Hash, Bytes>,
 }
 
-/// Why a configuration can't be cut into shards or put together again.
+/// Errors of splitting a configuration into shards and joining them.
 #[derive(Debug, Error)]
 pub enum Error {
-    /// A shard is over [`MAX_VALUE_BYTES`].
+    /// A shard is larger than [`MAX_VALUE_BYTES`].
     #[error("a shard of {0} bytes is over the limit of {MAX_VALUE_BYTES}")]
     TooLarge(usize),
-    /// A shard that the root names is not there.
+    /// A shard that the root references is missing.
     #[error("shard {0} is missing")]
     Missing(Hash),
-    /// A shard's content is not what its writer encoded.
+    /// The content of a shard is invalid.
     #[error("shard {0} can't be decoded: {1}")]
     Decode(Hash, serde_json::Error),
-    /// A shard could not be encoded.
+    /// A shard can't be encoded.
     #[error("a shard can't be encoded: {0}")]
     Encode(#[from] serde_json::Error),
 }
@@ -109,17 +111,18 @@
     blake3::hash(content).to_hex()[..32].to_owned()
 }
 
-/// Cuts `config` into shards.
+/// Splits `config` into shards.
 ///
 /// # Errors
 ///
-/// [`Error::TooLarge`] when a shard does not fit a value.
+/// [`Error::TooLarge`] if a shard does not fit into a value; [`Error::Encode`] if it can't be
+/// encoded.
 pub fn split(config: &Config) -> Result<Shards, Error> {
     let base = Config { organisations: Vec::new(), ..config.clone() };
     let mut parts: BTreeMap<u32, Vec<&Organisation>> = BTreeMap::new();
     for org in &config.organisations {
-        let place = rendezvous::hash(&[org.name.as_bytes()]) % u64::from(ORG_SHARD_COUNT);
-        parts.entry(place as u32 + 1).or_default().push(org);
+        let bucket = rendezvous::hash(&[org.name.as_bytes()]) % u64::from(ORG_SHARD_COUNT);
+        parts.entry(bucket as u32 + 1).or_default().push(org);
     }
     let mut shards = Shards { parts: BTreeMap::new(), contents: BTreeMap::new() };
     shards.add(0, serde_json::to_vec(&base)?)?;
@@ -141,11 +144,11 @@
     }
 }
 
-/// Puts a configuration together from the shards that `root` names.
+/// Joins the shards that `root` references into a configuration.
 ///
 /// # Errors
 ///
-/// [`Error::Missing`] or [`Error::Decode`] for the first shard at fault.
+/// [`Error::Missing`] or [`Error::Decode`] for the first shard that is missing or invalid.
 pub fn join(root: &Root, contents: &BTreeMap<Hash, Bytes>) -> Result<Config, Error> {
     let mut config = Config::default();
     for (part, name) in &root.shards {
