--- a/core/tests/cells.rs
+++ b/core/tests/cells.rs
@@ -1,4 +1,4 @@
-//! Cells of a large fleet: sizes, and how little a change of one router moves.
+//! Cells of a large fleet: their sizes, and the effect of losing one router.
 
 use laburnumwheel_core::cell::Cells;
 use laburnumwheel_core::cell::Group;
@@ -19,14 +19,14 @@
 }
 
 #[test]
-fn a_small_fleet_has_none() {
+fn a_small_fleet_has_no_cells() {
     let cells = cells(&names(MAX_ROUTERS_WITHOUT_CELLS));
     assert!(cells.serves(GroupKey(3), "router-1"));
     assert_eq!(cells.groups_of("router-1"), None);
 }
 
 #[test]
-fn every_group_has_a_cell_and_routers_share_few() {
+fn cells_are_small_and_a_router_shares_cells_with_few_others() {
     // Act
     let routers = names(440);
     let cells = cells(&routers);
@@ -34,18 +34,18 @@
     // Assert
     let sizes = (0..31).map(|g| routers.iter().filter(|r| cells.serves(GroupKey(g), r)).count());
     assert!(sizes.clone().all(|n| (12..=30).contains(&n)), "{:?}", sizes.collect::<Vec<_>>());
-    let sharers = routers.iter().map(|r| {
+    let neighbours = routers.iter().map(|r| {
         let groups = cells.groups_of(r).unwrap_or_default();
         cells.routers(&groups).len()
     });
-    let most = sharers.max().unwrap_or(0);
-    println!("at most {most} sharers");
+    let most = neighbours.max().unwrap_or(0);
+    println!("at most {most} neighbours");
     assert!(most <= 140, "{most}");
 }
 
-/// One router of 440 goes: only cells it was in change, each by the one that takes its place.
+/// One router of 440 is lost. Only the cells that contained it change, each by one new router.
 #[test]
-fn a_lost_router_moves_only_its_own_cells() {
+fn the_loss_of_a_router_changes_only_its_own_cells() {
     // Arrange
     let routers = names(440);
     let before = cells(&routers);
@@ -54,10 +54,10 @@
     let after = cells(&routers[1..]);
 
     // Assert
-    let gone = before.groups_of(&routers[0]).unwrap_or_default();
+    let own = before.groups_of(&routers[0]).unwrap_or_default();
     for g in (0..31).map(GroupKey) {
         let moved =
             routers[1..].iter().filter(|r| before.serves(g, r) != after.serves(g, r)).count();
-        assert_eq!(moved, usize::from(gone.contains(&g)), "{g}");
+        assert_eq!(moved, usize::from(own.contains(&g)), "{g}");
     }
 }
--- a/core/tests/guards.rs
+++ b/core/tests/guards.rs
@@ -1,4 +1,4 @@
-//! Promises that no other test would miss: each of these fails without its one guard.
+//! Rules that no other test covers; each of these tests fails without one particular check.
 
 mod support;
 
@@ -36,10 +36,10 @@
 slots = 2
 "#;
 
-/// An engine mixes two answers up, and the end of another caller's stream arrives on this one. A
-/// caller who took it for its own would believe that half an answer is whole.
+/// An engine confuses two answers and sends the end of another caller's stream on this one. If the
+/// router accepted it, the caller would take a partial answer for a whole one.
 #[test]
-fn the_end_of_another_calls_answer_ends_nothing() {
+fn the_end_of_another_calls_stream_is_not_accepted() {
     // Arrange
     let mut harness = Harness::new();
     let (_, actions) = harness.submit(Harness::submission("draft", "o"));
@@ -55,10 +55,10 @@
     assert_eq!(support::dispatch(&actions).offset, 1);
 }
 
-/// All engines run allergen checks when a call of a higher tier comes. Checks are protected: they
-/// run to their end, and the newcomer waits.
+/// All slots run requests of a protected class when a request of a higher tier arrives. The
+/// protected requests must run to their end, and the new request waits.
 #[test]
-fn a_protected_stream_is_never_stopped_for_a_higher_tier() {
+fn a_protected_stream_is_never_preempted_by_a_higher_tier() {
     // Arrange
     let text = TWO_TIERS.to_owned()
         + &support::upstream("e1", "models", 1)
@@ -88,21 +88,21 @@
     assert_eq!(stopped, 0);
 }
 
-/// A payment takes twelve seconds, longer than any stream may be silent. It may run once, so giving
-/// it up early helps nobody: its answer is waited for, and no second one is started.
+/// A payment takes twelve seconds, longer than any stream may be silent. It may run only once and
+/// can't be retried, so the router must neither cancel it early nor start it again.
 #[test]
-fn a_silent_call_that_may_run_once_is_waited_for() {
+fn a_silent_call_that_may_run_only_once_is_not_cancelled() {
     // Arrange
     let mut harness = Harness::new();
     let (_, actions) = harness.submit(Harness::bid());
     let attempt = support::dispatch(&actions).attempt;
 
     // Act
-    let meanwhile = harness.advance(Span::secs(12));
+    let early = harness.advance(Span::secs(12));
     let end = support::finish(&harness.end(attempt));
 
     // Assert
-    assert!(support::dispatches(&meanwhile).is_empty());
-    assert!(support::finish(&meanwhile).is_none());
+    assert!(support::dispatches(&early).is_empty());
+    assert!(support::finish(&early).is_none());
     assert!(matches!(end, Some(Outcome::Whole { .. })));
 }
--- a/core/tests/members.rs
+++ b/core/tests/members.rs
@@ -1,4 +1,4 @@
-//! What a router believes of its peers.
+//! Failure detection in the member table of a paused router.
 
 use laburnumwheel_core::action::Action;
 use laburnumwheel_core::member::Members;
@@ -27,11 +27,11 @@
     }
 }
 
-/// Callers are sent past a router that is well. Another router was frozen for 3.5 s with a probe
-/// under way; when it wakes it judges the probe before it has read the answer that waits in its
-/// socket, dials nobody anew, and tells everyone that its peer is suspected.
+/// A router is paused for 3.5 s while a probe is pending. When it resumes, it evaluates the probe
+/// before it reads the answer in its socket. It must not suspect the peer, because the suspicion
+/// would spread and callers would avoid a sound router.
 #[test]
-fn a_router_that_was_frozen_holds_that_against_no_peer() {
+fn a_paused_router_suspects_no_peer() {
     let mut rng = SmallRng::seed_from_u64(1);
     let mut out: Vec<Action> = Vec::new();
     let mut members = Members::new(record("one", Verdict::Alive));
@@ -43,10 +43,11 @@
     assert_eq!(members.get("two").map(|r| r.verdict), Some(Verdict::Alive));
 }
 
-/// The same with a peer that was suspected just before: what it objected lies in the socket, and
-/// the time in which it could be heard has passed frozen. It is dead at once, for everyone.
+/// A router is paused for 3.5 s just after it suspected a peer. The refutation lies unread in its
+/// socket while the time for it expires. When the router resumes, it must not declare the peer dead
+/// at once.
 #[test]
-fn time_that_a_router_was_frozen_does_not_count_against_a_suspect() {
+fn the_pause_of_a_router_does_not_count_against_a_suspect() {
     let mut rng = SmallRng::seed_from_u64(1);
     let mut out: Vec<Action> = Vec::new();
     let mut members = Members::new(record("one", Verdict::Alive));
--- a/core/tests/support/mod.rs
+++ b/core/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! One node with a configuration in force, driven by hand.
+//! A test harness that drives one node with a configuration in force.
 #![allow(dead_code)]
 
 use bytes::Bytes;
@@ -62,16 +62,16 @@
     )
 }
 
-pub fn organisation(name: &str, more: &str) -> String {
+pub fn organisation(name: &str, extra_fields: &str) -> String {
     let hash = config::hash_key(&format!("key-{name}"));
     format!(
-        "[[organisation]]\nname = \"{name}\"\nkey_hash = \"{hash}\"\ndefault_class = \"draft\"\n{more}\n"
+        "[[organisation]]\nname = \"{name}\"\nkey_hash = \"{hash}\"\ndefault_class = \"draft\"\n{extra_fields}\n"
     )
 }
 
 pub fn parse(text: &str) -> Config {
     let sources = [Source { name: "test".to_owned(), text: text.to_owned() }];
-    config::parse(&sources).expect("a valid file")
+    config::parse(&sources).expect("a valid configuration")
 }
 
 pub fn settings(name: &str) -> Settings {
@@ -87,6 +87,7 @@
     }
 }
 
+/// A node, the current time and the version of its configuration.
 pub struct Harness {
     pub node: Node,
     pub now: Time,
@@ -95,7 +96,8 @@
 }
 
 impl Harness {
-    /// A serving node with two engines `e1`, `e2`, one service replica, and organisation `o`.
+    /// Starts a node with the engines `e1` and `e2`, the service replica `s1` and the organisation
+    /// `o`.
     pub fn new() -> Harness {
         let text = CLASSES.to_owned()
             + &upstream("e1", "models", 1)
@@ -105,6 +107,7 @@
         Harness::with_config(&text)
     }
 
+    /// Starts a node with the configuration `text` and waits until it serves.
     pub fn with_config(text: &str) -> Harness {
         let now = Time(1_000_000);
         let mut harness = Harness { node: Node::new(settings("r"), now), now, version: 0, next: 1 };
@@ -114,10 +117,10 @@
         harness
     }
 
-    /// Has the node read a newer configuration.
+    /// Publishes a newer configuration in the key-value service and lets the node read it.
     pub fn publish(&mut self, text: &str) {
         self.version += 1;
-        let shards = shard::split(&parse(text)).expect("it fits");
+        let shards = shard::split(&parse(text)).expect("shards that fit");
         let operation = format!("op-{}", self.version);
         let root = Root { version: self.version, operation, shards: shards.parts };
         self.reply_to_read(ROOT_KEY, serde_json::to_vec(&root).expect("a root").into());
@@ -127,6 +130,7 @@
         assert_eq!(self.node.config_version(), self.version);
     }
 
+    /// Passes the reply to a read of `key` to the node.
     pub fn reply_to_read(&mut self, key: &str, value: Bytes) -> Vec<Action> {
         let call = KvCall::Get { key: key.to_owned() };
         self.handle(Event::Kv(call, KvReply::Value(Some((value, 1)))))
@@ -136,7 +140,7 @@
         self.node.handle(self.now, event)
     }
 
-    /// Lets time pass; returns everything the node did.
+    /// Advances the time in ticks; returns all actions of the node.
     pub fn advance(&mut self, span: Span) -> Vec<Action> {
         let until = self.now + span;
         let mut actions = Vec::new();
--- a/core/tests/table.rs
+++ b/core/tests/table.rs
@@ -1,4 +1,4 @@
-//! The table of idempotency keys on its own.
+//! The table of idempotency keys: handover, and the bound on its size.
 
 use bytes::Bytes;
 use laburnumwheel_core::action::Outcome;
@@ -33,10 +33,11 @@
     table
 }
 
-/// A stopping home sends its keys in several parts and one is lost. Until it has come, the
-/// successor owns nothing: a key of the missing part would look new there, and run twice.
+/// A stopping router hands over its keys in several parts, and one part is delayed. The successor
+/// must not own the home before it has that part: it would take a request whose key is in the
+/// missing part for a new one and run it a second time.
 #[test]
-fn a_successor_owns_nothing_before_every_part_is_here() {
+fn a_successor_owns_a_home_only_after_all_parts_have_arrived() {
     // Arrange
     let parts = full_table(20).hand_over(Time(0), 4_000);
     let mut successor = Table::new("r2.1".to_owned(), Time(0));
@@ -52,15 +53,15 @@
     assert!(early.iter().all(|owned| !owned) && !before);
     assert!(complete && successor.owns("r1.1"));
     for i in 0..20 {
-        let begin = successor.begin(&key("r1.1", &i.to_string()), [0; 32], waiter());
-        assert!(matches!(begin, Admission::Replay(_)), "{i}: {begin:?}");
+        let admission = successor.begin(&key("r1.1", &i.to_string()), [0; 32], waiter());
+        assert!(matches!(admission, Admission::Replay(_)), "{i}: {admission:?}");
     }
 }
 
-/// A forwarded bid reaches a home that has begun to hand its keys over. It must not begin there:
-/// the successor would not know of it.
+/// A forwarded request reaches a router that has begun to hand over its keys. The request must not
+/// start there, because the successor would not know of it.
 #[test]
-fn a_frozen_table_begins_nothing_but_still_answers() {
+fn a_frozen_table_refuses_new_keys_and_replays_finished_ones() {
     // Arrange
     let mut table = full_table(1);
     table.freeze();
@@ -74,9 +75,9 @@
     assert_eq!(new, Admission::Refuse(Reason::NotServing, true));
 }
 
-/// Callers fill the table. New keys are refused as not run; none that is remembered is given up.
+/// Callers fill the table. New keys are refused as not run, and no stored key is evicted.
 #[test]
-fn a_full_table_refuses_and_evicts_nothing() {
+fn a_full_table_refuses_new_keys_and_evicts_none() {
     // Arrange
     let mut table = Table::new("r1.1".to_owned(), Time(0));
     for i in 0..idempotency::MAX_KEYS {
--- a/core/tests/versions.rs
+++ b/core/tests/versions.rs
@@ -1,4 +1,4 @@
-//! Configuration: findings with their places, shards, and versions that never go back.
+//! Configuration: locations of findings, overlays, shards, and the order of versions.
 
 mod support;
 
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn every_finding_is_reported_with_its_place() {
+fn every_finding_is_reported_with_its_location() {
     // Arrange
     let base = "[[class]]\nname = \"c\"\ntier = 9\nfirst_token_ms = \"x\"\n\n\
                 [[class]]\nname = \"c\"\n\n\
@@ -32,7 +32,7 @@
     let findings = config::parse(&sources).expect_err("findings").0;
 
     // Assert
-    let places: Vec<String> =
+    let locations: Vec<String> =
         findings.iter().map(|f| format!("{}:{}:{}", f.file, f.line, f.column)).collect();
     let expected = [
         "base.toml:3:8",
@@ -44,7 +44,7 @@
         "site.toml:3:12",
         "site.toml:4:17",
     ];
-    assert_eq!(places, expected, "{findings:#?}");
+    assert_eq!(locations, expected, "{findings:#?}");
 }
 
 #[test]
@@ -54,15 +54,15 @@
 
     // Act
     let sources = [source("base", support::CLASSES), source("site", overlay)];
-    let config = config::parse(&sources).expect("valid");
+    let config = config::parse(&sources).expect("a valid configuration");
 
     // Assert
-    let draft = config.classes.iter().find(|c| c.name == "draft").expect("it is there");
+    let draft = config.classes.iter().find(|c| c.name == "draft").expect("the class draft");
     assert_eq!((draft.tier, draft.patience.as_millis()), (5, 2_000));
 }
 
 #[test]
-fn eighteen_thousand_organisations_fit_and_one_change_is_small() {
+fn shards_of_18_000_organisations_fit_and_the_change_of_one_is_small() {
     // Arrange
     let mut config = support::parse(support::CLASSES);
     for i in 0..18_000 {
@@ -77,9 +77,9 @@
     }
 
     // Act
-    let before = shard::split(&config).expect("it fits");
+    let before = shard::split(&config).expect("shards that fit");
     config.organisations[77].weight = 2;
-    let after = shard::split(&config).expect("it fits");
+    let after = shard::split(&config).expect("shards that fit");
 
     // Assert
     let old = Root { version: 1, operation: "a".to_owned(), shards: before.parts };
@@ -93,13 +93,13 @@
     assert!(before.contents.values().all(|c| c.len() <= shard::MAX_VALUE_BYTES));
 }
 
-/// An operator's change has taken force when a stale read of the key-value service, and then a
-/// slow peer, bring the version before it. It stays in force.
+/// A stale read of the key-value service, and then a slow peer, deliver an older version than the
+/// one in force. The version in force must stay.
 #[test]
 fn a_version_never_goes_back() {
     // Arrange
     let mut harness = Harness::new();
-    let old = shard::split(&support::parse(support::CLASSES)).expect("it fits");
+    let old = shard::split(&support::parse(support::CLASSES)).expect("shards that fit");
     let newer = support::CLASSES.replace("tier = 4", "tier = 5");
     harness.publish(&newer);
     let stale = Root { version: 1, operation: "op-1".to_owned(), shards: old.parts.clone() };
@@ -118,15 +118,15 @@
     }
 
     // Assert
-    let class = harness.node.index().class_named("draft").expect("it is there");
+    let class = harness.node.index().class_named("draft").expect("the class draft");
     assert_eq!(harness.node.config_version(), 2);
     assert_eq!(harness.node.index().class(class).tier, 5);
 }
 
-/// A request is queued when its class is removed and another takes its place in the file. It ends
-/// by the rules it began with.
+/// The class of a running request is removed, and a new class replaces it in the file. The request
+/// must still finish under the rules of its removed class.
 #[test]
-fn requests_in_progress_keep_their_rules() {
+fn requests_in_progress_keep_the_rules_of_a_removed_class() {
     // Arrange
     let mut harness = Harness::new();
     let (_, actions) = harness.submit(Harness::submission("draft", "o"));
