--- a/router/src/admin.rs
+++ b/router/src/admin.rs
@@ -58,7 +58,7 @@
 }
 
 fn unauthorized() -> Response<Body> {
-    let error = Error::bad_request("not_an_operator", "the operator token is missing or wrong");
+    let error = Error::not_run("not_an_operator", "the operator token is missing or wrong");
     reply::error(StatusCode::UNAUTHORIZED, &error)
 }
 
--- a/router/src/api.rs
+++ b/router/src/api.rs
@@ -105,7 +105,7 @@
     let response = match answer.flatten() {
         Some(answer) => reply::json(StatusCode::OK, &answer),
         None => {
-            let mut error = Error::bad_request("no_router", "no router takes callers now");
+            let mut error = Error::not_run("no_router", "no router takes callers now");
             error.retry_after_ms = Some(1_000);
             reply::error(StatusCode::SERVICE_UNAVAILABLE, &error)
         }
@@ -127,7 +127,7 @@
 async fn read_body(state: &mut State) -> Result<Bytes, ErrorResponse> {
     let body = Limited::new(Body::take_from(state), MAX_BODY_BYTES);
     let refuse = |status, code, message: &str| {
-        let mut response = reply::error(status, &Error::bad_request(code, message));
+        let mut response = reply::error(status, &Error::not_run(code, message));
         // The rest of the body is not read, so the connection can't be reused.
         let close = hyper::header::HeaderValue::from_static("close");
         response.headers_mut().insert(hyper::header::CONNECTION, close);
@@ -154,7 +154,7 @@
         Some("false") => Ok(false),
         Some(other) => {
             let message = format!("{IDEMPOTENT_HEADER} is `{other}`, not true or false");
-            let error = Error::bad_request("bad_header", message);
+            let error = Error::not_run("bad_header", message);
             Err(error_response(StatusCode::BAD_REQUEST, &error))
         }
     }
@@ -197,7 +197,7 @@
 
 async fn complete(state: &mut State, shape: Shape) -> Result<Response<Body>, ErrorResponse> {
     let bad_body = |e: &dyn std::fmt::Display| {
-        reply::error(StatusCode::BAD_REQUEST, &Error::bad_request("bad_body", e.to_string()))
+        reply::error(StatusCode::BAD_REQUEST, &Error::not_run("bad_body", e.to_string()))
     };
     let headers = HeaderMap::take_from(state);
     let bytes = read_body(state).await?;
--- a/router/src/body.rs
+++ b/router/src/body.rs
@@ -11,7 +11,9 @@
 
 /// Bytes of the prompt in one block; each block extends the hashed prefix.
 const BLOCK_BYTES: usize = 256;
+/// Most prefixes of a prompt that are hashed.
 const MAX_BLOCKS: usize = 8;
+/// Bytes that are assumed for each token of a prompt.
 const BYTES_PER_TOKEN: usize = 4;
 
 /// Why a body can't be parsed.
--- a/router/src/kv.rs
+++ b/router/src/kv.rs
@@ -16,6 +16,7 @@
 use tonic::transport::Channel;
 use tonic::transport::Endpoint;
 
+/// Timeout of a connection attempt, a call and a keep-alive ping.
 const TIMEOUT: Duration = Duration::from_secs(2);
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(5);
 
--- a/router/src/peer.rs
+++ b/router/src/peer.rs
@@ -28,7 +28,8 @@
 /// Timeout of one message. The node repeats those that must arrive.
 const TIMEOUT: Duration = Duration::from_secs(2);
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Messages in flight to one peer; more are dropped, since a peer that slow can't use them.
+/// Messages in flight to one peer; more are dropped, since a peer that is so slow has no use for
+/// them.
 const MAX_IN_FLIGHT: usize = 256;
 const MAX_MESSAGE_BYTES: usize = 4 << 20;
 const SECRET_HEADER: &str = "x-peer-secret";
--- a/router/src/poll.rs
+++ b/router/src/poll.rs
@@ -11,7 +11,9 @@
 use crate::driver::Handle;
 use crate::upstream::Client;
 
+/// Time from one poll to the next.
 const INTERVAL: Duration = Duration::from_millis(500);
+/// Timeout of one request.
 const TIMEOUT: Duration = Duration::from_millis(400);
 
 /// The response of an upstream to `GET /load`.
--- a/router/src/reply.rs
+++ b/router/src/reply.rs
@@ -31,7 +31,7 @@
 
 impl Error {
     /// Creates an error for a request that was rejected before anything ran.
-    pub fn bad_request(code: &str, message: impl ToString) -> Error {
+    pub fn not_run(code: &str, message: impl ToString) -> Error {
         Error {
             verdict: Verdict::NotRun.to_string(),
             code: code.to_owned(),
--- a/router/src/router.rs
+++ b/router/src/router.rs
@@ -83,9 +83,9 @@
             key_value: kv.is_some(),
         };
         let peer_client = peer::Client::new(&settings.name, incarnation, &settings.peer_secret);
-        let make = |now| Node::new(node_settings, now);
+        let build_node = |now| Node::new(node_settings, now);
         let (driver, handle) =
-            Driver::new(settings.name.clone(), make, client.clone(), peer_client, kv);
+            Driver::new(settings.name.clone(), build_node, client.clone(), peer_client, kv);
 
         let (stop, stopped) = watch::channel(false);
         let peer_service = peer::Service::server(handle.clone(), &settings.peer_secret);
--- a/router/src/sse.rs
+++ b/router/src/sse.rs
@@ -37,12 +37,12 @@
     pub fn pop(&mut self) -> Result<Option<Bytes>, Error> {
         loop {
             let found = self.buffer[self.scanned..].iter().position(|b| *b == b'\n');
-            let Some(at) = found.map(|at| at + self.scanned) else {
+            let Some(end) = found.map(|at| at + self.scanned) else {
                 self.scanned = self.buffer.len();
                 return if self.scanned > MAX_EVENT_BYTES { Err(Error::TooLong) } else { Ok(None) };
             };
             self.scanned = 0;
-            let mut line = self.buffer.split_to(at).freeze();
+            let mut line = self.buffer.split_to(end).freeze();
             self.buffer.advance(1);
             if line.last() == Some(&b'\r') {
                 line.truncate(line.len() - 1);
