--- a/standin/src/engine.rs
+++ b/standin/src/engine.rs
@@ -37,7 +37,7 @@
 /// Tokens in the response to a request without `max_tokens`.
 const DEFAULT_MAX_TOKENS: u32 = 16;
 /// Tokens that a faulty engine sends in each response before its fault occurs.
-const FAULT_TOKEN: u32 = 3;
+const FAULT_AFTER_TOKENS: u32 = 3;
 
 /// A fault that an engine simulates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -278,7 +278,7 @@
             return Some((Ok(Frame::data(done)), None));
         }
         let mut id = self.id.clone();
-        if self.sent >= FAULT_TOKEN {
+        if self.sent >= FAULT_AFTER_TOKENS {
             match self.fault {
                 Fault::None => {}
                 Fault::Crash => return Some((Err(io::Error::other("crash")), None)),
