--- a/core/tests/gateway/agreement.rs
+++ b/core/tests/gateway/agreement.rs
@@ -1,8 +1,9 @@
 //! Agreement of hundreds of gateways on the plan of a service, in virtual time.
 //!
 //! The simulation measures how long gateways use different plans and how many bytes they send.
-//! Heartbeats and reports are delivered at once, and one in a hundred is lost. Calls are chats of
-//! two seconds, and reports that pause for longer than a chat may.
+//! Heartbeats and the decider's reports are delivered at once, and one in a hundred is lost. Calls
+//! take the routes `chat` and `report`: urgent streams of two seconds, and calls with long prompts
+//! whose streams pause for longer than a chat may.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -36,16 +37,17 @@
 /// Upper bound on the time in which gateways use different plans after a change. Bursts last a few
 /// seconds, and for most of that time all gateways must use the same plan.
 const MAX_DISAGREEMENT: Span = Span::secs(2);
-/// Calls per second at each gateway, by kind.
-const CHATS: f64 = 0.3;
-const REPORTS: f64 = 2.0;
+/// Calls of the route `chat` per second at each gateway.
+const CHATS_PER_SECOND: f64 = 0.3;
+/// Calls of the route `report` per second at each gateway.
+const REPORTS_PER_SECOND: f64 = 2.0;
 
 struct Call {
     at: usize,
     chat: bool,
     grant: Grant,
     pick: Pick,
-    began: Time,
+    start: Time,
     events: u32,
 }
 
@@ -58,7 +60,7 @@
     partitioned: BTreeSet<usize>,
     next_report: Vec<Time>,
     calls: Vec<Call>,
-    chats: f64,
+    chats_per_second: f64,
     engines: usize,
     sent_bytes: usize,
     number: u64,
@@ -86,7 +88,7 @@
             partitioned: BTreeSet::new(),
             next_report: vec![START; gateways],
             calls: Vec::new(),
-            chats: CHATS,
+            chats_per_second: CHATS_PER_SECOND,
             engines,
             sent_bytes: 0,
             number: 0,
@@ -164,7 +166,7 @@
     fn serve(&mut self) {
         self.continue_calls();
         let gateways = self.gateways.len() as f64 * STEP.as_secs_f64();
-        for (chat, rate) in [(true, self.chats), (false, REPORTS)] {
+        for (chat, rate) in [(true, self.chats_per_second), (false, REPORTS_PER_SECOND)] {
             let expected = rate * gateways;
             let more = self.rng.random_bool(expected.fract());
             (0..expected as usize + usize::from(more)).for_each(|_| self.begin(chat));
@@ -182,7 +184,7 @@
         };
         if let Ok(mut pick) = gateway.pick(self.now, &call, &mut grant, &[]) {
             gateway.record_sent(self.now, &call, &mut grant, &mut pick);
-            self.calls.push(Call { at, chat, grant, pick, began: self.now, events: 0 });
+            self.calls.push(Call { at, chat, grant, pick, start: self.now, events: 0 });
         }
     }
 
@@ -192,7 +194,7 @@
         let now = self.now;
         let mut open = std::mem::take(&mut self.calls);
         for call in &mut open {
-            let late = !call.chat && now.since(call.began) < Span::millis(400);
+            let late = !call.chat && now.since(call.start) < Span::millis(400);
             if late && call.grant.arrived.0 % 50 == 0 && call.events == 3 {
                 continue;
             }
@@ -257,12 +259,12 @@
     simulation.sent_bytes = 0;
     let (usual, usual_longest) = simulation.run(Span::secs(4));
     let bytes = simulation.sent_bytes as f64 / gateways as f64 / 4.0;
-    let calm = simulation.pool_size();
+    let usual_size = simulation.pool_size();
 
-    simulation.chats *= 3.0;
+    simulation.chats_per_second *= 3.0;
     let (burst, burst_longest) = simulation.run(Span::secs(5));
-    let grown = simulation.pool_size();
-    simulation.chats /= 3.0;
+    let burst_size = simulation.pool_size();
+    simulation.chats_per_second /= 3.0;
 
     simulation.partitioned = (0..gateways / 3).collect();
     simulation.run(Span::secs(4));
@@ -275,11 +277,14 @@
     let (_, after_restart) = simulation.run(Span::secs(3));
 
     println!(
-        "{gateways} gateways: pool size {calm}, in a burst {grown}; different plans {usual:.2} of the \
+        "{gateways} gateways: pool size {usual_size}, in a burst {burst_size}; different plans {usual:.2} of the \
          time, at most {usual_longest:?}; in a burst {burst:.2}, {burst_longest:?}; after a partition \
          {healing:?}; after a restart {after_restart:?}; {bytes:.0} bytes/s each"
     );
-    assert!(calm > 0 && grown > calm, "the pool size follows the streams: {calm} {grown}");
+    assert!(
+        usual_size > 0 && burst_size > usual_size,
+        "the pool must grow with the streams, from {usual_size} to {burst_size} engines"
+    );
     assert!(usual_longest < MAX_DISAGREEMENT && burst_longest < MAX_DISAGREEMENT);
     assert!(healing < MAX_DISAGREEMENT, "{healing:?} from {healed_from:?}");
     assert!(after_restart < MAX_DISAGREEMENT);
--- a/core/tests/gateway/freshness.rs
+++ b/core/tests/gateway/freshness.rs
@@ -35,16 +35,16 @@
     assert_eq!(refusal.reason, Reason::StaleConfiguration);
 }
 
-/// A peer's proof of the same view counts from when the question was sent, minus the age that the
-/// peer states. An older proof never replaces a newer one.
+/// A peer's proof of the same view counts like a read that was sent at the time of the proof
+/// request, minus the age that the peer states. An older proof never replaces a newer one.
 #[test]
 fn a_peers_proof_ages_from_the_peers_read() {
     let mut gateway = gateway(3);
-    let asked = START + Span::secs(3);
+    let requested = START + Span::secs(3);
     let age = Span::secs(1);
 
-    gateway.confirm_view(asked - age);
-    gateway.confirm_view(asked - Span::secs(2));
+    gateway.confirm_view(requested - age);
+    gateway.confirm_view(requested - Span::secs(2));
 
     assert_eq!(gateway.proved_at(), Some(START + Span::secs(2)));
     assert!(gateway.admit(START + Span::millis(6_400), &submission("report", &[])).is_ok());
--- a/core/tests/gateway/loads.rs
+++ b/core/tests/gateway/loads.rs
@@ -1,8 +1,9 @@
 //! Tests the placement and refusal of calls under patterns of load.
 //!
 //! The figures are those of the engines in use: 16 requests in a batch, 110 prompt tokens
-//! prefilled per millisecond. The calls are reports of 6,300 shared and 2,890 own tokens, which
-//! have the lowest rank, drafts of 1,800, and chats of 710, which are sensitive streams.
+//! prefilled per millisecond. Reports are calls of the lowest rank with long prompts of 6,300 shared
+//! and 2,890 own tokens, drafts are calls of a middle rank with 1,800 tokens, and chats are urgent
+//! streams with 710 tokens, which long prompts at the same engine would delay.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -86,13 +87,13 @@
 
 /// Reports this load for all engines.
 fn busy(gateway: &mut Gateway, now: Time, running: u16, waiting: u16) {
-    let seen = |i: usize| Observation {
+    let observation = |i: usize| Observation {
         replica: Incarnation::without_start(&format!("engine-{i}")).digest(),
         running,
         waiting,
         age_ms: 0,
     };
-    gateway.receive(now, &heartbeat(vec![], (0..ENGINES).map(seen).collect()));
+    gateway.receive(now, &heartbeat(vec![], (0..ENGINES).map(observation).collect()));
 }
 
 /// A burst of 40 reports about each of 20 subjects. Without homes, each shared prefix would be
@@ -305,9 +306,9 @@
     let call = submission("chat", &chat(1));
     let grant = gateway.admit(START, &call).unwrap();
 
-    let asked = gateway.queries(START, &call, &grant);
+    let queried = gateway.queries(START, &call, &grant);
 
-    assert_eq!(asked.into_values().flatten().count(), 3);
+    assert_eq!(queried.into_values().flatten().count(), 3);
 }
 
 /// Engines of the isolated pool have short queues, so that their expected time to first event is
@@ -320,9 +321,9 @@
     let (in_pool, outside) = pool_and_other(&mut gateway);
     let call = submission("draft", &[(9_000, 1_800)]);
     let mut grant = gateway.admit(START, &call).unwrap();
-    let asked = [snapshot(&outside, 12, 60.0), snapshot(&in_pool, 1, 0.0)];
+    let snapshots = [snapshot(&outside, 12, 60.0), snapshot(&in_pool, 1, 0.0)];
 
-    let pick = gateway.pick(START, &call, &mut grant, &asked).unwrap();
+    let pick = gateway.pick(START, &call, &mut grant, &snapshots).unwrap();
 
     assert_eq!(pick.id, outside);
 }
--- a/core/tests/gateway/malformed.rs
+++ b/core/tests/gateway/malformed.rs
@@ -24,7 +24,7 @@
     Incarnation::without_start(&format!("engine-{i}")).digest()
 }
 
-/// The engine that a chat goes to, with the expected time to its first event.
+/// The engine that a sensitive stream goes to, with the expected time to its first event.
 fn chosen(gateway: &mut Gateway, snapshots: &[Snapshot]) -> Option<(String, f64)> {
     let call = submission("chat", &[(1, 300), (2, 400)]);
     let mut grant = gateway.admit(START, &call).unwrap();
--- a/core/tests/gateway/plan.rs
+++ b/core/tests/gateway/plan.rs
@@ -1,4 +1,6 @@
 //! Tests the decider's plans, their order, and the reports that they are based on.
+//!
+//! Chats are streams of which only a short pause is allowed, and which long prompts would delay.
 
 use std::collections::BTreeSet;
 
@@ -23,8 +25,10 @@
 const SERVICE: u32 = 7;
 const ENGINES: usize = 150;
 const ENGINE: Engine = Engine { slots: 16, kv_tokens: 300_000, tokens_per_event: 5 };
-const CHAT: Span = Span::millis(150);
-const REPORT: Span = Span::millis(600);
+/// Allowed pause of chats.
+const CHAT_PAUSE: Span = Span::millis(150);
+/// Allowed pause of other streams.
+const OTHER_PAUSE: Span = Span::millis(600);
 /// Time after which a new decider publishes plans.
 const WARMED_UP: Span = Span::secs(2);
 
@@ -32,12 +36,12 @@
 /// gaps.
 fn report(gateway: u32, chats: u16) -> Report {
     let mut tally = Tally::default();
-    (0..chats).for_each(|_| tally.record_start(CHAT));
-    tally.record_first_event(CHAT);
-    (0..30).for_each(|_| tally.record_event(CHAT, None));
+    (0..chats).for_each(|_| tally.record_start(CHAT_PAUSE));
+    tally.record_first_event(CHAT_PAUSE);
+    (0..30).for_each(|_| tally.record_event(CHAT_PAUSE, None));
     for i in 0..100 {
         let gap = if i % 10 == 0 { 400 } else { 60 };
-        tally.record_event(REPORT, Some(Span::millis(gap)));
+        tally.record_event(OTHER_PAUSE, Some(Span::millis(gap)));
     }
     tally.record_call_end(20.0, Some(Span::secs(2)));
     Report { gateway, services: tally.take(SERVICE).into_iter().collect() }
@@ -68,7 +72,7 @@
     let plan = decide(&mut planner, START + WARMED_UP, None).unwrap();
 
     assert_eq!(plan.epoch, 1);
-    assert!(plan.isolates(CHAT) && !plan.isolates(REPORT), "{plan:?}");
+    assert!(plan.isolates(CHAT_PAUSE) && !plan.isolates(OTHER_PAUSE), "{plan:?}");
     assert!((14..=24).contains(&plan.pool_size), "{plan:?}");
 }
 
@@ -106,8 +110,8 @@
     assert_eq!(after.pool_size, 0);
 }
 
-/// One engine is in backoff for a moment. A new plan would move the pool's boundary for all calls, and
-/// the next plan would move it back.
+/// One engine is in backoff for a moment. A new plan would move the pool's boundary for all calls,
+/// and the next plan would move it back.
 #[test]
 fn a_short_backoff_of_an_engine_does_not_resize_the_pool() {
     let mut planner = planner();
@@ -116,9 +120,9 @@
     let input = |known| Input { service: SERVICE, engine: &ENGINE, engines: ENGINES, known };
     let longer = planner.decide(now, 1, &input(None), |wanted| wanted + 1).unwrap();
 
-    let again = planner.decide(now, 1, &input(Some(&longer)), |wanted| wanted);
+    let next = planner.decide(now, 1, &input(Some(&longer)), |wanted| wanted);
 
-    assert_eq!(again, None);
+    assert_eq!(next, None);
 }
 
 /// Two gateways consider themselves the decider for a moment, and a late heartbeat has an earlier
@@ -126,17 +130,17 @@
 #[test]
 fn the_latest_plan_prevails_in_any_order_of_receipt() {
     let mut all = [plan(3, 1), plan(4, 1), plan(4, 2), plan(2, 9)];
-    let mut held = BTreeSet::new();
+    let mut known = BTreeSet::new();
     for _ in 0..all.len() {
         let mut table = Table::default();
         for plan in &all {
             table.receive(START, plan);
         }
-        held.insert(table.get(SERVICE).map(|plan| (plan.epoch, plan.by)));
+        known.insert(table.get(SERVICE).map(|plan| (plan.epoch, plan.by)));
         all.rotate_left(1);
     }
 
-    assert_eq!(held, BTreeSet::from([Some((4, 2))]));
+    assert_eq!(known, BTreeSet::from([Some((4, 2))]));
 }
 
 #[test]
@@ -156,9 +160,9 @@
 #[test]
 fn the_end_of_the_last_stream_is_reported() {
     let mut tally = Tally::default();
-    tally.record_start(CHAT);
+    tally.record_start(CHAT_PAUSE);
     let with_one = tally.take(SERVICE).unwrap();
-    tally.record_stream_end(CHAT);
+    tally.record_stream_end(CHAT_PAUSE);
 
     let without = tally.take(SERVICE);
 
--- a/core/tests/gateway/routes.rs
+++ b/core/tests/gateway/routes.rs
@@ -29,8 +29,8 @@
     assert!(config.route("other.example", "/report/x").is_none());
 }
 
-/// A gateway that has just started has no configuration. A caller that is told "no such route" does
-/// not retry, so the refusal must tell it to retry.
+/// A gateway that has just started has no configuration. A caller whose route is denied does not
+/// retry, so the refusal must state a time to retry after.
 #[test]
 fn without_a_configuration_a_call_is_refused_to_be_retried() {
     let mut gateway = Gateway::new(settings("one"), START);
--- a/core/tests/gateway/stop.rs
+++ b/core/tests/gateway/stop.rs
@@ -1,4 +1,6 @@
 //! Graceful stop: which calls a stopping gateway still serves.
+//!
+//! Chats are streams with a deadline of up to 15 s, drafts are calls with one of up to 3 s.
 
 use laburnumwheel_core::gateway::refusal::Reason;
 use laburnumwheel_core::gateway::submission::Submission;
--- a/core/tests/gateway/support.rs
+++ b/core/tests/gateway/support.rs
@@ -1,4 +1,8 @@
 //! Fixtures of the gateway tests.
+//!
+//! The calls of the tests go to engines by one of three routes. `chat` stands for urgent streams that
+//! the prefill of a long prompt at their engine would delay, `draft` for calls of a middle rank that
+//! are not idempotent, and `report` for calls with long prompts and the lowest rank.
 #![allow(dead_code)]
 
 use std::sync::Arc;
@@ -46,7 +50,7 @@
     }
 }
 
-/// Route for chats, catalogue drafts or, with any other name, long reports.
+/// The route `chat`, the route `draft` or, with any other name, a route like `report`.
 pub fn route(name: &str) -> Route {
     let (priority, objective, pause, timeout) = match name {
         "chat" => (0, 200, 150, 15_000),
