--- a/core/src/gateway/directory.rs
+++ b/core/src/gateway/directory.rs
@@ -1,4 +1,4 @@
-//! Directory of gateways: which of them live, which accept callers, and which have a role for all.
+//! Directory of the gateways: which are live, which accept callers, and which have a role for all.
 //!
 //! The directory combines the list of entries in the store with heartbeats between gateways. The
 //! list needs no gateway to be up, but it lags and may be unreachable. Heartbeats are fast, but
@@ -33,9 +33,9 @@
 /// Least number of readers, the gateways that read the store for all: two may fail at a time.
 const MIN_READERS: usize = 3;
 /// Divisor of the square root of the fleet's size that gives the number of additional readers. Each
-/// reader calls the store and answers the questions of its part of the fleet; with the square root
-/// both loads grow alike. With 295 gateways, 7 readers answer 80 questions a second each; half as
-/// many readers would answer twice as many.
+/// reader calls the store and answers the proof requests of its part of the fleet; with the square
+/// root both loads grow alike. With 295 gateways, 7 readers answer 80 proof requests a second each;
+/// half as many readers would answer twice as many.
 const READER_DIVISOR: usize = 4;
 /// Upper bound on the addresses returned to a caller.
 const MAX_ADDRESSES: usize = 16;
@@ -100,7 +100,7 @@
     }
 }
 
-/// All other gateways that were seen lately.
+/// All other gateways with a recent entry or heartbeat.
 #[derive(Debug, Default)]
 pub struct Directory {
     members: BTreeMap<String, Member>,
@@ -185,9 +185,9 @@
     /// with entry `own` is a reader too.
     ///
     /// Readers are the live gateways of the greatest weight, whose links are the widest and whose
-    /// proofs the youngest; gateways of equal weight are ordered by hash. If views
-    /// differ for a moment, a gateway at worst reads the store once too often, or asks a gateway
-    /// that itself asks another one.
+    /// proofs the youngest; gateways of equal weight are ordered by hash. If views differ for a
+    /// moment, a gateway at worst reads the store once too often, or requests a proof from a
+    /// gateway that is no reader itself.
     pub fn readers(&self, now: Time, own: &Entry) -> (Vec<String>, bool) {
         let rank = |hash: u32, entry: &Entry| (Reverse(entry.weight), hash);
         let live = self.members.values().filter(|m| m.is_live(now));
--- a/core/src/gateway/fleet/choice.rs
+++ b/core/src/gateway/fleet/choice.rs
@@ -19,7 +19,7 @@
 use super::Fleet;
 use super::Replica;
 
-/// Cost in milliseconds of a failure rate that is higher by one than the lowest of the candidates.
+/// Cost in milliseconds of a failure rate of one, if the lowest rate of the candidates is zero.
 const FAILURE_MS: f64 = 600.0;
 /// Queueing time in milliseconds for each request that waits inside an engine: with full batches of
 /// long prompts an engine finishes one request in about this time.
@@ -41,7 +41,7 @@
 const MAX_QUERIED: usize = 2;
 /// Milliseconds that each running request adds to the time to first event of a new one.
 const RUNNING_MS: f64 = 0.3;
-/// The same for a call of the lowest rank, whose prompt waits for the prompts of most running ones.
+/// The same for a call of the lowest rank, whose prompt waits for those of most running requests.
 const RUNNING_LOWEST_RANK_MS: f64 = 20.0;
 /// Expected milliseconds of a call at a plain service, for each call in progress per slot.
 const PLAIN_MS: f64 = 15.0;
@@ -335,9 +335,9 @@
 /// and may be on time elsewhere: when streams could not leave the pool, a quarter of the short ones
 /// waited for up to 1.5 s in the first two seconds of a burst. A call of a middle rank that goes to
 /// a full engine preempts one of a lower rank, whose prompt is then prefilled again; the pool may
-/// have a free slot. Such calls may not simply compare both sides, because the pool has the shorter
-/// queues and its streams would be delayed: under high load 41 % of the short streams were then
-/// late, and 31 % with this rule.
+/// have a free slot. If such calls always went to the side with the lower cost, many would go to
+/// the pool, which has the shorter queues, and delay its streams: under high load 41 % of the short
+/// streams were then late, and 31 % with this rule.
 fn is_sufficient(criteria: &Criteria, claim: &Claim) -> bool {
     let preempts =
         !criteria.sensitive && claim.from_snapshot && claim.load >= f64::from(criteria.slots);
--- a/core/src/gateway/gossip.rs
+++ b/core/src/gateway/gossip.rs
@@ -1,9 +1,9 @@
 //! Gossip in heartbeats: loads of replicas and demand of gateways.
 //!
 //! In a large fleet each gateway receives few replies of any one replica, so its own observations
-//! are out of date. Gateways therefore pass on all observations with their age. Within a few
-//! rounds an observation reaches all gateways, at a cost that depends on the number of replicas and
-//! not on the number of calls.
+//! are out of date. Gateways therefore pass on all observations with their age. Within a few rounds
+//! an observation reaches all gateways, at a cost that depends on the number of replicas and not on
+//! the number of calls.
 
 use std::collections::BTreeMap;
 
--- a/core/src/gateway/leader.rs
+++ b/core/src/gateway/leader.rs
@@ -180,7 +180,7 @@
     campaign_after: Time,
     /// Start of the newest successful read of the store.
     observed: Option<Time>,
-    /// Start of the first of the latest reads that all showed no leader.
+    /// Start of the first read in the latest unbroken series of reads that showed no leader.
     vacant_since: Option<Time>,
     stopping: bool,
     /// Ended terms not yet taken, by token.
--- a/core/src/gateway/plan.rs
+++ b/core/src/gateway/plan.rs
@@ -231,8 +231,8 @@
 }
 
 /// The pool size to publish if `needed` engines are needed: the known size if it suffices and has
-/// less than one step to spare. Otherwise a short backoff of one engine would move the pool's
-/// boundary.
+/// less than one step to spare. Without this rule, a short backoff of one engine would move the
+/// pool's boundary.
 fn stabilise(needed: usize, engines: usize, known: Option<&Plan>) -> usize {
     let known = known.map_or(0, |known| usize::from(known.pool_size));
     let step = pool::step(engines);
--- a/core/src/gateway/state.rs
+++ b/core/src/gateway/state.rs
@@ -1,4 +1,4 @@
-//! State of one gateway: admits calls, chooses their replicas and records what comes of them.
+//! State of one gateway: admits calls, chooses their replicas and records the outcomes.
 //!
 //! The caller of this module passes in the time, heads of calls, replies of replicas, reads of the
 //! store and heartbeats of peers. A call holds a [`Grant`] from its admission to its end. A grant
@@ -66,15 +66,14 @@
 const MIN_DITHER: f64 = 0.3;
 const MAX_DITHER: f64 = 1.7;
 /// Upper bound on the expected wait for a first event, in multiples of the route's objective, for
-/// calls of the lowest rank. Of calls for reports with an expected wait of 0.5 to 0.6 objectives,
-/// 15 to 22 in 100 were late; at 0.6 to 0.7 it was 21 to 32, and these delayed the calls behind
-/// them.
+/// calls of the lowest rank. Of long prompts with an expected wait of 0.5 to 0.6 objectives, 15 to
+/// 22 in 100 were late; at 0.6 to 0.7 it was 21 to 32, and these delayed the calls behind them.
 const MAX_WAIT_OBJECTIVES: f64 = 0.6;
 /// The same for calls of a higher rank.
 const MAX_WAIT_OBJECTIVES_URGENT: f64 = 2.0;
 /// The same bound as a share of the route's timeout; the larger of the two bounds applies.
 const MAX_WAIT_TIMEOUT_SHARE: f64 = 0.06;
-/// Time after which a caller retries when no replica can be given work.
+/// Time after which a caller retries when no replica can take its call.
 const RETRY_NO_REPLICA: Span = Span::millis(300);
 
 /// Settings of a gateway, fixed from its start.
@@ -82,8 +81,8 @@
 pub struct Settings {
     /// Entry of this gateway in the directory.
     pub entry: Entry,
-    /// Age from which on a proof of the configuration no longer lets keys be accepted; `None` if a
-    /// proof of any age does.
+    /// Age from which a proof of the configuration is too old for keys to be accepted; `None` if
+    /// there is no limit.
     pub max_proof_age: Option<Span>,
     /// Rules of the retry budget that all gateways share.
     pub budget: budget::Rules,
@@ -118,8 +117,8 @@
 }
 
 /// Rank of a call; the least is served first. The route's rank is compared before the
-/// organisation's: in the opposite order engines preempt catalogue drafts for the reports of a
-/// larger customer.
+/// organisation's: in the opposite order, engines would preempt the urgent calls of one
+/// organisation for the long prompts of another one with a higher rank.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Rank {
     /// Rank of the route; 0 is the highest.
@@ -214,8 +213,8 @@
         self.fleet.calls(now, service)
     }
 
-    /// Number of a service's replicas that may get work; those with a missing entry that are
-    /// retained count too.
+    /// Number of a service's replicas that may get calls, including those that are retained
+    /// although their entries are missing.
     pub fn registered(&self, service: &str) -> usize {
         self.fleet.iter().filter(|r| !r.closed && r.listing.service == service).count()
     }
--- a/core/src/gateway/usage.rs
+++ b/core/src/gateway/usage.rs
@@ -26,7 +26,8 @@
 const BATCH_BYTES: usize = 24;
 /// Encoded size of a count without its name, in bytes.
 const COUNT_BYTES: usize = 4;
-/// Divisor of the time until a report is due: the quotient is left for the last batches to arrive.
+/// Divisor of the time until a report is due; the quotient is the time for the last batches to
+/// arrive.
 const SETTLE_DIVISOR: u64 = 3;
 /// Upper bound on the difference between the synchronised times of two gateways.
 const CLOCK_ERROR: Span = Span::millis(2_500);
--- a/core/tests/gateway/loads.rs
+++ b/core/tests/gateway/loads.rs
@@ -1,8 +1,8 @@
 //! Tests the placement and refusal of calls under patterns of load.
 //!
-//! The figures are those of the engines in use: 16 requests in a batch, 110 prompt tokens
-//! prefilled per millisecond. Reports are calls of the lowest rank with long prompts of 6,300 shared
-//! and 2,890 own tokens, drafts are calls of a middle rank with 1,800 tokens, and chats are urgent
+//! The figures are those of the engines in use: 16 requests in a batch, 110 prompt tokens prefilled
+//! per millisecond. Reports are calls of the lowest rank with long prompts of 6,300 shared and
+//! 2,890 own tokens, drafts are calls of a middle rank with 1,800 tokens, and chats are urgent
 //! streams with 710 tokens, which long prompts at the same engine would delay.
 
 use std::collections::BTreeMap;
--- a/core/tests/gateway/occupancy.rs
+++ b/core/tests/gateway/occupancy.rs
@@ -1,8 +1,8 @@
 //! Tests the occupancy of engines, and placement by it in a burst of long prompts at many gateways.
 //!
 //! The figures are those of the engines in use, with 16 slots. Reports are calls with long prompts:
-//! 2,890 own tokens with 26 ms of prefill, and an objective of 800 ms for the first event. Chats are
-//! urgent streams, which have a pool of engines of their own.
+//! 2,890 own tokens with 26 ms of prefill, and an objective of 800 ms for the first event. Chats
+//! are urgent streams, which have a pool of engines of their own.
 
 use std::collections::BTreeSet;
 
--- a/core/tests/gateway/restart.rs
+++ b/core/tests/gateway/restart.rs
@@ -113,8 +113,8 @@
     assert_eq!(gateway.time_until_silent(START, &running.claim), Span(0));
 }
 
-/// An engine is unreachable and then restarts. If it were still in backoff, failing and
-/// leaving like its former incarnation, it would be idle while others are overloaded.
+/// An engine is unreachable and then restarts. If it were still in backoff, failing and leaving
+/// like its former incarnation, it would be idle while others are overloaded.
 #[test]
 fn rest_failures_and_leaving_end_with_the_incarnation() {
     let mut gateway = gateway_with(FIRST);
--- a/core/tests/gateway/support.rs
+++ b/core/tests/gateway/support.rs
@@ -1,8 +1,8 @@
 //! Fixtures of the gateway tests.
 //!
-//! The calls of the tests go to engines by one of three routes. `chat` stands for urgent streams that
-//! the prefill of a long prompt at their engine would delay, `draft` for calls of a middle rank that
-//! are not idempotent, and `report` for calls with long prompts and the lowest rank.
+//! The calls of the tests go to engines by one of three routes. `chat` stands for urgent streams
+//! that the prefill of a long prompt at their engine would delay, `draft` for calls of a middle
+//! rank that are not idempotent, and `report` for calls with long prompts and the lowest rank.
 #![allow(dead_code)]
 
 use std::sync::Arc;
--- a/gateway/src/attempt.rs
+++ b/gateway/src/attempt.rs
@@ -1,9 +1,9 @@
 //! Makes one attempt of a call at one replica, up to the head of its response.
 //!
 //! Each attempt picks a replica, connects to it, checks once more that the call may go there, and
-//! only then sends the call. [`Fault`] says why an attempt failed, and [`Call::may_have_run`]
-//! stays false only while no replica can have run the call, so that a caller is told that its call
-//! has not run only if that is certain.
+//! only then sends the call. [`Fault`] is the reason for which an attempt failed.
+//! [`Call::may_have_run`] is false only while no replica can have run the call, so that a response
+//! says that the call has not run only if that is certain.
 
 use std::cell::Cell;
 use std::time::Duration;
--- a/gateway/src/call.rs
+++ b/gateway/src/call.rs
@@ -1,8 +1,8 @@
 //! Serves one call, from its head to the head of its response.
 //!
 //! The gateway admits the call by its head, reads its body, and makes attempts until one succeeds
-//! or no further one is allowed. Every call gets a response, and one that says that the call has
-//! not run is sent only if no attempt can have run it.
+//! or no further one is allowed. Every call gets a response, which says that the call has not run
+//! only if no attempt can have run it.
 
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -142,7 +142,7 @@
     }
 }
 
-/// Adds to the line what the last choice of a replica was based on.
+/// Adds the estimates behind the last choice of a replica to the line.
 fn with_choice(line: Line, pick: &Pick) -> Line {
     let claim = &pick.claim;
     line.with("replica", &pick.id)
--- a/gateway/src/relay.rs
+++ b/gateway/src/relay.rs
@@ -1,7 +1,7 @@
 //! Relays a stream of events, and resumes it at another replica if one breaks off.
 //!
-//! Only whole events are passed on, so a stream resumes after the last whole event. The attempt
-//! before is cancelled first, so that no two replicas work on one stream. A stream that can't be
+//! Only whole events are passed on, so a stream resumes after the last whole event. The previous
+//! attempt is cancelled first, so that no two replicas work on one stream. A stream that can't be
 //! resumed is aborted, so that the caller does not take it for complete.
 
 use bytes::Bytes;
@@ -37,8 +37,8 @@
 }
 
 impl Relay {
-    /// Waits for the first whole event, so that an attempt that breaks off before it can be
-    /// repeated and the caller gets the head of the next one.
+    /// Waits for the first whole event. If the attempt breaks off earlier, it can be repeated, and
+    /// the caller gets the head of the next response.
     ///
     /// # Errors
     ///
--- a/gateway/src/store.rs
+++ b/gateway/src/store.rs
@@ -1,9 +1,9 @@
 //! Keeps up with the store, which holds the configuration and the lists of replicas and gateways.
 //!
 //! A platform implements the calls of [`Store`]. A few gateways, the readers, read the store; the
-//! others ask a reader for a proof that nothing has changed, and fetch the differences if something
-//! has. A view is taken only if it is not older than the last one, so that a reader that lags can't
-//! bring back a replica that has left.
+//! others request from a reader a proof that nothing has changed, and fetch the differences if
+//! something has. A view is applied only if it is not older than the last one, so that a reader
+//! that lags can't bring back a replica that has left.
 
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -47,7 +47,7 @@
 /// take effect.
 const READ_INTERVAL: Duration = Duration::from_millis(550);
 const PROOF_INTERVAL: Duration = Duration::from_millis(550);
-/// Readers that are asked before the gateway reads the store itself.
+/// Number of readers that a gateway asks for a proof before it reads the store itself.
 const MAX_READERS_ASKED: usize = 2;
 /// Age above which a reader's proof is ignored: that reader has lost the store itself.
 const MAX_PROOF_AGE: Span = Span::millis(1_000);
@@ -56,8 +56,8 @@
 /// Timeout of one call: many times the usual few milliseconds.
 pub(crate) const CALL_TIMEOUT: Duration = Duration::from_millis(900);
 /// Timeout of a complete read, which may take many calls, and of a complete view over a slow link.
-/// Its proof of freshness ages from the start of the read, so after a longer time it would be
-/// useless.
+/// The proof that a read gives ages from the start of the read, so that the proof of a longer one
+/// would be useless.
 pub(crate) const READ_TIMEOUT: Duration = Duration::from_millis(3_500);
 /// Largest response that is read, in bytes: several times a view of 10,000 replicas and as many
 /// routes and organisations, and a fifth of a small host's memory.
