--- a/gateway/src/peers.rs
+++ b/gateway/src/peers.rs
@@ -237,8 +237,9 @@
     }
 }
 
-/// Periodically reevaluates the quarantine, and sends a report to the gateway that decides on
-/// isolated pools, or decides if this gateway does, forever.
+/// Reevaluates the quarantine and sends a report to the decider of the plans in each reporting
+/// period, forever. If this gateway is the decider, it updates the plans instead of sending a
+/// report.
 pub async fn send_reports(shared: Shared) {
     loop {
         let period = shared.gateway.borrow().reporting_period();
