--- a/core/src/gateway/directory.rs
+++ b/core/src/gateway/directory.rs
@@ -185,7 +185,7 @@
     /// with entry `own` is a reader too.
     ///
     /// Readers are the live gateways of the greatest weight, whose links are the widest and whose
-    /// proofs the youngest; gateways of equal weight are ordered by hash. If views differ for a
+    /// proofs the most recent; gateways of equal weight are ordered by hash. If views differ for a
     /// moment, a gateway at worst reads the store once too often, or requests a proof from a
     /// gateway that is no reader itself.
     pub fn readers(&self, now: Time, own: &Entry) -> (Vec<String>, bool) {
--- a/core/src/gateway/gossip.rs
+++ b/core/src/gateway/gossip.rs
@@ -17,7 +17,7 @@
 /// Age from which on observations are not passed on.
 const MAX_AGE: Span = Span::millis(1_200);
 /// Age from which on the demand of a gateway is ignored, because the gateway has probably ended.
-const DEMAND_VALID: Span = Span::millis(3_000);
+const MAX_DEMAND_AGE: Span = Span::millis(3_000);
 /// Upper bound on entries of one kind in a heartbeat, so that it fits into a datagram.
 pub const MAX_ENTRIES: usize = 100;
 
@@ -80,10 +80,10 @@
                 *known = received;
             }
         }
-        self.by_gateway.retain(|_, d| now.since(d.at) < DEMAND_VALID);
+        self.by_gateway.retain(|_, d| now.since(d.at) < MAX_DEMAND_AGE);
     }
 
-    /// Demand to gossip, the youngest first.
+    /// Demand to gossip, the newest first.
     pub fn gossip(&self, now: Time) -> Vec<Demand> {
         let mut recent: Vec<Demand> = self
             .by_gateway
@@ -97,7 +97,7 @@
 
     /// Number of sensitive streams in progress at all gateways with a known demand.
     pub fn sensitive_streams(&self, now: Time) -> u32 {
-        let live = self.by_gateway.values().filter(|d| now.since(d.at) < DEMAND_VALID);
+        let live = self.by_gateway.values().filter(|d| now.since(d.at) < MAX_DEMAND_AGE);
         live.map(|d| u32::from(d.value.sensitive)).sum()
     }
 
--- a/core/src/gateway/occupancy.rs
+++ b/core/src/gateway/occupancy.rs
@@ -100,7 +100,7 @@
     interval_ms: f64,
 }
 
-/// Occupancy of the engines that this gateway owns or has owned lately.
+/// Occupancy of the engines that this gateway owns or has owned recently.
 #[derive(Debug, Default)]
 pub struct Occupancy {
     engines: BTreeMap<Digest, Engine>,
