--- a/replay/src/caller.rs
+++ b/replay/src/caller.rs
@@ -1,4 +1,4 @@
-//! Callers of a replay: what they send, what they get, and whether it was right.
+//! Records the calls of a simulation's callers, tallies them and checks the router's guarantees.
 
 use std::collections::BTreeMap;
 
@@ -10,20 +10,20 @@
 use crate::site::Site;
 use crate::trace::Record;
 
-/// How a request ended for its caller.
+/// End of a request for its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum End {
-    /// A whole answer.
+    /// The answer is complete.
     Whole,
-    /// A truthful error: it did not run.
+    /// The router reported that the request did not run.
     NotRun,
-    /// A truthful error: nobody knows.
+    /// The router reported that the outcome is unknown.
     Unknown,
-    /// A truthful error: the answer is not whole.
+    /// The router reported that the answer is incomplete.
     Incomplete,
-    /// The caller lost patience.
+    /// The caller's patience ended.
     GaveUp,
-    /// The connection to the router broke and a second try was not possible.
+    /// The connection to the router broke and the request could not be submitted again.
     Broken,
 }
 
@@ -37,92 +37,96 @@
     }
 }
 
-/// A caller's request from sending to end.
+/// Request of a caller.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// Router it was sent to.
+    /// Index of the router of the last submission.
     pub router: usize,
-    /// Number of the request there.
+    /// Id of the request at that router.
     pub request: RequestId,
-    /// When it was first sent.
+    /// Time of the first submission.
     pub sent: Time,
-    /// When the first token, or a service's answer, came.
+    /// Time of arrival of the first token, or of a service's answer.
     pub first: Option<Time>,
-    /// Tokens received.
+    /// Number of tokens received.
     pub tokens: u32,
-    /// Its end and when.
+    /// End and its time.
     pub end: Option<(End, Time)>,
-    /// How often it was sent.
+    /// Number of submissions.
     pub submissions: u32,
     /// Idempotency key.
     pub key: Option<String>,
 }
 
-/// Promises that a replay found broken.
+/// Numbers of violations of the router's guarantees.
+///
+/// Reports print the debug text of this type, with its name and the names of its fields.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Broken {
-    /// Requests without any end.
+    /// Requests that did not end.
     pub lost: u64,
-    /// Tokens that came twice, or requests that ran twice though they may run only once.
+    /// Tokens that were not the next ones of their answers, and repeated executions of requests
+    /// that may run at most once.
     pub doubled: u64,
-    /// Tokens of another request.
+    /// Tokens that belong to another request.
     pub misattributed: u64,
-    /// Whole answers that lacked tokens.
+    /// Answers that were reported as complete with a wrong number of tokens.
     pub cut_off: u64,
-    /// Requests said not to have run that did.
+    /// Requests that ran although the router reported that they did not.
     pub not_run_ran: u64,
 }
 
 impl Broken {
-    /// Number of broken promises.
+    /// Returns the number of violations.
     pub fn total(&self) -> u64 {
         self.lost + self.doubled + self.misattributed + self.cut_off + self.not_run_ran
     }
 }
 
-/// What one class got.
+/// Tally of the requests of one class.
 #[derive(Clone, Debug, Default)]
 pub struct Tally {
-    /// Requests sent.
+    /// Number of requests.
     pub sent: u64,
-    /// Ends.
+    /// Number of requests by end.
     pub ends: BTreeMap<End, u64>,
-    /// Whole answers within both targets.
+    /// Number of complete answers within the targets for the first token and the whole answer.
     pub attained: u64,
-    /// Tokens in whole answers.
+    /// Number of tokens in complete answers.
     pub tokens: u64,
-    /// Longest time to a first token, in microseconds.
+    /// Longest time to first token of any answer, in microseconds.
     pub max_first_token: u64,
-    /// Requests served by window of the burst.
+    /// Number of first tokens in each window of the burst.
     pub windows: Vec<u64>,
-    /// Microseconds to the first token of whole answers.
+    /// Time to first token of each complete answer, in microseconds.
     pub first_token: Vec<u64>,
 }
 
 impl Tally {
-    /// Part of the requests that attained both targets, in percent.
+    /// Returns the share of the requests that attained both targets, in percent.
     pub fn attainment(&self) -> f64 {
         100.0 * self.attained as f64 / self.sent.max(1) as f64
     }
 
-    /// Requests that ended so.
+    /// Returns the number of requests with this end.
     pub fn count(&self, end: End) -> u64 {
         self.ends.get(&end).copied().unwrap_or(0)
     }
 }
 
-/// Tallies of all classes.
+/// Tallies the calls of a trace by class, and adds lost requests and answers with a wrong number of
+/// tokens to `broken`.
 pub fn tally(
     site: &Site,
     trace: &[Record],
     calls: &[Option<Call>],
-    began: Time,
+    trace_start: Time,
     broken: &mut Broken,
 ) -> Vec<Tally> {
     let (from, to) = site.burst_ms;
     let windows = (to - from).div_ceil(site.outcomes.window_ms) as usize;
-    let fresh = Tally { windows: vec![0; windows], ..Tally::default() };
-    let mut tallies = vec![fresh; site.class.len()];
+    let empty = Tally { windows: vec![0; windows], ..Tally::default() };
+    let mut tallies = vec![empty; site.class.len()];
     for (record, call) in trace.iter().zip(calls) {
         let tally = &mut tallies[record.class];
         tally.sent += 1;
@@ -133,9 +137,9 @@
         *tally.ends.entry(end).or_default() += 1;
         if let Some(first) = call.first {
             tally.max_first_token = tally.max_first_token.max(first.since(call.sent).0);
-            let into = first.since(began + Span::millis(from)).as_millis();
-            if first >= began + Span::millis(from)
-                && let Some(n) = tally.windows.get_mut((into / site.outcomes.window_ms) as usize)
+            let offset = first.since(trace_start + Span::millis(from)).as_millis();
+            if first >= trace_start + Span::millis(from)
+                && let Some(n) = tally.windows.get_mut((offset / site.outcomes.window_ms) as usize)
             {
                 *n += 1;
             }
--- a/replay/src/error.rs
+++ b/replay/src/error.rs
@@ -1,33 +1,33 @@
-//! Why a replay can't run, or missed its outcomes.
+//! Errors of replays.
 
 use std::io;
 
 use laburnumwheel_core::config::Findings;
 use thiserror::Error;
 
-/// Errors of a replay.
+/// Error of a replay.
 #[derive(Debug, Error)]
 pub enum Error {
-    /// A file can't be read or written.
+    /// A file can't be read or written; the first field is its name.
     #[error("{0}: {1}")]
     File(String, io::Error),
-    /// A line of a trace is no record.
+    /// A line of a trace is not a valid record.
     #[error("{file}:{line}: {message}")]
     Trace {
-        /// File.
+        /// Name of the trace's file.
         file: String,
-        /// Line, from 1.
+        /// Line number, starting at 1.
         line: usize,
-        /// What is wrong.
+        /// Description of the error.
         message: String,
     },
-    /// The outcomes file is wrong.
+    /// The file of a site is invalid; the first field is its name.
     #[error("{0}: {1}")]
     Outcomes(String, toml::de::Error),
-    /// The configuration is wrong.
+    /// The configuration of a site is invalid.
     #[error(transparent)]
     Config(#[from] Findings),
-    /// Stated outcomes were missed.
+    /// Required outcomes of a site were not reached.
     #[error("missed: {}", .0.join("; "))]
     Missed(Vec<String>),
 }
--- a/replay/src/fake.rs
+++ b/replay/src/fake.rs
@@ -1,4 +1,4 @@
-//! Fakes of a model engine and a plain service, in virtual time.
+//! Fakes of a model engine and of a plain service in virtual time.
 
 use std::collections::BTreeMap;
 
@@ -7,62 +7,66 @@
 use laburnumwheel_core::time::Span;
 use laburnumwheel_core::time::Time;
 
-/// Prompt tokens that one engine step computes.
-const PREFILL: u32 = 512;
-const CACHED_PREFIXES: usize = 48;
-/// Part of a prompt that a cached prefix spares.
-const SPARED: u32 = 2;
+/// Prompt tokens of a request that an engine computes in one step.
+const PREFILL_TOKENS_PER_STEP: u32 = 512;
+/// Upper bound on the prefixes in an engine's cache; the least recently used one is evicted.
+const MAX_CACHED_PREFIXES: usize = 48;
+/// Divisor of the prompt tokens to compute when the prefix of the prompt is cached.
+const CACHED_PREFIX_DIVISOR: u32 = 2;
 
-/// A try at an upstream: which router's, and its number there.
+/// Key of an attempt: the index of its router and its id there.
 pub type AttemptKey = (usize, AttemptId);
 
-/// What an upstream runs for a try.
+/// Work of an engine for an attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct Job {
-    /// Record of the trace.
+    /// Index of its record in the trace.
     pub record: usize,
-    /// Priority; 0 is the highest.
+    /// Priority, 0 for the highest.
     pub priority: u8,
-    /// Tokens in the prompt, those of earlier attempts included.
+    /// Tokens in the prompt, including those that earlier attempts delivered.
     pub prompt: u32,
-    /// Shared prefix.
+    /// Id of the shared prefix that the prompt begins with.
     pub prefix: u64,
-    /// Tokens that earlier attempts delivered.
+    /// Number of tokens that earlier attempts delivered.
     pub offset: u32,
-    /// Tokens of the whole answer.
+    /// Number of tokens in the complete answer.
     pub output: u32,
 }
 
+/// Job in an engine's batch.
 #[derive(Clone, Copy, Debug)]
 struct Running {
     job: Job,
+    /// Remaining steps of prefill.
     prefill: u32,
+    /// Index of the next token.
     next: u32,
 }
 
-/// What came of one step.
+/// Output of a step, for an attempt and the index of its record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Output {
-    /// Token `n` of the answer.
+    /// The token of the answer with this index.
     Token(AttemptKey, usize, u32),
-    /// The answer is whole.
+    /// The answer is complete.
     Done(AttemptKey, usize),
 }
 
-/// A model engine with continuous batching, a priority queue and a prefix cache.
+/// Model engine with continuous batching, a priority queue and a prefix cache.
 #[derive(Debug)]
 pub struct Engine {
-    /// Largest batch.
+    /// Upper bound on the attempts in the batch.
     pub slots: u32,
-    /// Time of a step.
+    /// Duration of a step.
     pub step: Span,
-    /// Gone; answers nothing.
+    /// Whether it crashed or exited; it then refuses connections.
     pub crashed: bool,
-    /// Refuses new work.
+    /// Whether it refuses new work.
     pub leaving: bool,
-    /// A step is under way.
+    /// Whether its next step is scheduled.
     pub stepping: bool,
-    /// Tokens generated.
+    /// Number of generated tokens.
     pub generated: u64,
     running: BTreeMap<AttemptKey, Running>,
     waiting: BTreeMap<(u8, u64), (AttemptKey, Job)>,
@@ -72,7 +76,7 @@
 }
 
 impl Engine {
-    /// An idle engine.
+    /// Creates an idle engine.
     pub fn new(slots: u32, step: Span) -> Engine {
         Engine {
             slots,
@@ -89,24 +93,24 @@
         }
     }
 
-    /// Whether a step would do anything.
+    /// Whether an attempt is running or waiting.
     pub fn has_work(&self) -> bool {
         !self.running.is_empty() || !self.waiting.is_empty()
     }
 
-    /// Takes a try in.
+    /// Adds an attempt to the queue.
     pub fn submit(&mut self, id: AttemptKey, job: Job) {
         self.arrivals += 1;
         self.waiting.insert((job.priority, self.arrivals), (id, job));
     }
 
-    /// Drops a try.
+    /// Removes an attempt.
     pub fn cancel(&mut self, id: AttemptKey) {
         self.running.remove(&id);
         self.waiting.retain(|_, (t, _)| *t != id);
     }
 
-    /// Drops everything and returns the tries.
+    /// Crashes the engine and returns the attempts that were running or waiting.
     pub fn crash(&mut self) -> Vec<AttemptKey> {
         self.crashed = true;
         let running = std::mem::take(&mut self.running).into_keys();
@@ -114,6 +118,7 @@
         running.chain(waiting).collect()
     }
 
+    /// Adds the prefix of a job to the cache and returns the number of steps for its prefill.
     fn prefill(&mut self, job: &Job) -> u32 {
         let cached = self.cache.contains(&job.prefix);
         self.cache.retain(|p| *p != job.prefix);
@@ -121,14 +126,14 @@
         if !cached {
             self.added_prefixes.push(job.prefix);
         }
-        if self.cache.len() > CACHED_PREFIXES {
+        if self.cache.len() > MAX_CACHED_PREFIXES {
             self.cache.remove(0);
         }
-        let prompt = if cached { job.prompt / SPARED } else { job.prompt };
-        prompt / PREFILL
+        let prompt = if cached { job.prompt / CACHED_PREFIX_DIVISOR } else { job.prompt };
+        prompt / PREFILL_TOKENS_PER_STEP
     }
 
-    /// One step of the batch.
+    /// Fills the batch from the queue and runs one step of it.
     pub fn step(&mut self) -> Vec<Output> {
         while self.running.len() < self.slots as usize {
             let Some((_, (id, job))) = self.waiting.pop_first() else {
@@ -160,42 +165,45 @@
         out
     }
 
-    /// The load report of this moment.
+    /// Returns the current load report.
     pub fn load(&self) -> Load {
         let (running, waiting) = (self.running.len() as u32, self.waiting.len() as u32);
         Load { age: 0, running, waiting, slots: self.slots }
     }
 
-    /// Prefixes that the cache added since the last call.
+    /// Returns the prefixes added to the cache since the last call.
     pub fn take_added_prefixes(&mut self) -> Vec<u64> {
         std::mem::take(&mut self.added_prefixes)
     }
 }
 
-/// A plain service: calls run one after another in each of its slots.
+/// Plain service whose slots each run one call at a time.
 #[derive(Debug)]
 pub struct Service {
-    /// Gone; answers nothing.
+    /// Whether it crashed; it then refuses connections.
     pub crashed: bool,
-    /// Refuses new work.
+    /// Whether it refuses new work.
     pub leaving: bool,
+    /// For each slot, the time at which it has run its last call.
     free_at: Vec<Time>,
+    /// Duration of a call.
     work: Span,
+    /// Number of calls that have not ended.
     open: u32,
 }
 
 impl Service {
-    /// An idle service.
+    /// Creates an idle service.
     pub fn new(slots: u32, work: Span) -> Service {
         let free_at = vec![Time(0); slots as usize];
         Service { crashed: false, leaving: false, free_at, work, open: 0 }
     }
 
-    /// Runs a call; returns when it ends.
+    /// Assigns a call to the slot that is free first and returns the time at which the call ends.
     pub fn run(&mut self, now: Time) -> Time {
         self.open += 1;
-        let first = self.free_at.iter_mut().min();
-        match first {
+        let first_free = self.free_at.iter_mut().min();
+        match first_free {
             Some(free) => {
                 *free = (*free).max(now) + self.work;
                 *free
@@ -204,12 +212,12 @@
         }
     }
 
-    /// Notes that a call has ended.
+    /// Counts the end of a call.
     pub fn end(&mut self) {
         self.open = self.open.saturating_sub(1);
     }
 
-    /// The load report of this moment.
+    /// Returns the current load report.
     pub fn load(&self) -> Load {
         let slots = self.free_at.len() as u32;
         let running = self.open.min(slots);
--- a/replay/src/generate.rs
+++ b/replay/src/generate.rs
@@ -1,8 +1,9 @@
-//! Makes the committed traces, once, from a seed.
+//! Generates traces from a seed.
 //!
-//! Before and after the burst the offered load is 0.6 of capacity, in the burst 3.2 times it.
-//! Output lengths are log-normal, prompts share a few popular prefixes, and three organisations
-//! send two thirds of the traffic.
+//! Requests arrive as a Poisson process. With the traffic defined here, the offered load is 0.6 of
+//! the capacity before and after the burst and 3.2 times the capacity in it. Lengths of prompts and
+//! outputs are log-normal, prefixes follow a Zipf distribution, and three large organisations send
+//! two thirds of the traffic.
 
 use rand::Rng;
 use rand::SeedableRng;
@@ -18,26 +19,30 @@
 /// Traffic of one class.
 #[derive(Clone, Copy, Debug)]
 pub struct Traffic {
-    /// Class, a number into the site's list.
+    /// Index of the class in the site's list.
     pub class: usize,
-    /// Requests a second before and after the burst.
+    /// Requests per second before and after the burst.
     pub base_rate: f64,
-    /// Requests a second in the burst.
+    /// Requests per second in the burst.
     pub burst_rate: f64,
-    /// Mean tokens of an answer; 0 for a plain service.
+    /// Mean number of tokens in an answer; 0 for a plain service.
     pub output: f64,
-    /// Mean tokens of a prompt.
+    /// Mean number of tokens in a prompt.
     pub prompt: f64,
 }
 
-const SIGMA: f64 = 0.8;
-const MAX_OUTPUT: f64 = 4_000.0;
+/// Standard deviation of the logarithms of lengths.
+const LENGTH_SIGMA: f64 = 0.8;
+/// Upper bound on the tokens of a prompt and of an answer.
+const MAX_TOKENS: f64 = 4_000.0;
+/// Number of shared prefixes.
 const PREFIXES: f64 = 200.0;
-const SKEW: f64 = 1.1;
-/// Part of the traffic that the three large organisations send.
-const LARGE: f64 = 0.66;
+/// Exponent of the Zipf distribution of prefixes.
+const PREFIX_EXPONENT: f64 = 1.1;
+/// Share of the traffic that the three large organisations send.
+const LARGE_SHARE: f64 = 0.66;
 
-/// Draws a trace of `length_ms` for the site.
+/// Generates a trace of `length_ms` milliseconds for a site.
 pub fn trace(site: &Site, traffic: &[Traffic], length_ms: u64, seed: u64) -> Vec<Record> {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut records = Vec::new();
@@ -51,7 +56,7 @@
                 break;
             };
             let next = at + gap.sample(&mut rng);
-            // A gap may not skip the start of the burst, where the rate changes.
+            // A gap that began at the base rate ends at the start of the burst at the latest.
             at = if at < from as f64 && next > from as f64 { from as f64 } else { next };
             if at >= length_ms as f64 {
                 break;
@@ -64,33 +69,33 @@
 }
 
 fn log_normal(mean: f64, rng: &mut StdRng) -> f64 {
-    let mu = mean.ln() - SIGMA * SIGMA / 2.0;
-    LogNormal::new(mu, SIGMA).map_or(mean, |d| d.sample(rng))
+    let mu = mean.ln() - LENGTH_SIGMA * LENGTH_SIGMA / 2.0;
+    LogNormal::new(mu, LENGTH_SIGMA).map_or(mean, |d| d.sample(rng))
 }
 
 fn record(site: &Site, traffic: &Traffic, at_ms: u64, rng: &mut StdRng) -> Record {
     let organisations = site.callers.len();
-    let large = rng.random_bool(LARGE);
+    let large = rng.random_bool(LARGE_SHARE);
     let organisation =
         if large { rng.random_range(0..3) } else { rng.random_range(3..organisations) };
-    let prefix = Zipf::new(PREFIXES, SKEW).map_or(1.0, |d| d.sample(rng)) as u64;
+    let prefix = Zipf::new(PREFIXES, PREFIX_EXPONENT).map_or(1.0, |d| d.sample(rng)) as u64;
     let output = if traffic.output > 0.0 {
-        log_normal(traffic.output, rng).clamp(1.0, MAX_OUTPUT) as u32
+        log_normal(traffic.output, rng).clamp(1.0, MAX_TOKENS) as u32
     } else {
         0
     };
-    let prompt = log_normal(traffic.prompt, rng).clamp(8.0, MAX_OUTPUT) as u32;
+    let prompt = log_normal(traffic.prompt, rng).clamp(8.0, MAX_TOKENS) as u32;
     Record { at_ms, organisation, class: traffic.class, prompt, prefix, output }
 }
 
-/// The auction house: an auction closes for a minute.
+/// Traffic of an auction house, with a burst of a minute when an auction closes.
 pub const AUCTION: [Traffic; 3] = [
     Traffic { class: 0, base_rate: 10.0, burst_rate: 60.0, output: 0.0, prompt: 50.0 },
     Traffic { class: 1, base_rate: 35.0, burst_rate: 80.0, output: 110.0, prompt: 300.0 },
     Traffic { class: 2, base_rate: 12.0, burst_rate: 105.0, output: 270.0, prompt: 400.0 },
 ];
 
-/// Cardápio Seguro: every kitchen at seven in the morning.
+/// Traffic of a service for kitchens, with a burst when all of them start work in the morning.
 pub const KITCHEN: [Traffic; 4] = [
     Traffic { class: 0, base_rate: 20.0, burst_rate: 80.0, output: 32.0, prompt: 200.0 },
     Traffic { class: 1, base_rate: 5.0, burst_rate: 30.0, output: 0.0, prompt: 50.0 },
--- a/replay/src/lib.rs
+++ b/replay/src/lib.rs
@@ -1,5 +1,7 @@
-//! Replay of recorded traces in virtual time over the core, with page-sized fakes of engines and
-//! plain services, and two baselines in the same run.
+//! Replays traces of requests in virtual time.
+//!
+//! A replay runs the router's core, or one of two baselines that it is compared with, against fakes
+//! of engines and plain services, and compares the results with the required outcomes of a site.
 
 pub mod baseline;
 pub mod caller;
--- a/replay/src/report.rs
+++ b/replay/src/report.rs
@@ -1,10 +1,10 @@
-//! Tables of the results of replays, and the comparison with stated outcomes.
+//! Formats the results of replays as tables and compares them with the required outcomes of a site.
 
 use crate::caller::End;
 use crate::simulation::Results;
 use crate::site::Site;
 
-/// Rows of a table by class.
+/// Returns the rows of a table with a header and one row for each class.
 pub fn rows(site: &Site, results: &Results) -> Vec<Vec<String>> {
     let head = [
         "class",
@@ -41,15 +41,15 @@
     rows
 }
 
-/// The value below which this part of `values` lies.
-pub fn quantile(values: &[u64], part: f64) -> u64 {
+/// Returns a quantile of `values`: the value that a `fraction` of them lies below.
+pub fn quantile(values: &[u64], fraction: f64) -> u64 {
     let mut sorted = values.to_vec();
     sorted.sort_unstable();
-    let at = (sorted.len() as f64 * part) as usize;
-    sorted.get(at.min(sorted.len().saturating_sub(1))).copied().unwrap_or(0)
+    let rank = (sorted.len() as f64 * fraction) as usize;
+    sorted.get(rank.min(sorted.len().saturating_sub(1))).copied().unwrap_or(0)
 }
 
-/// One line under the table.
+/// Returns the line below the table.
 pub fn summary(results: &Results) -> String {
     let sum =
         |f: fn(&laburnumwheel_core::stats::Stats) -> u64| results.stats.iter().map(f).sum::<u64>();
@@ -67,7 +67,9 @@
     )
 }
 
-/// Stated outcomes that were missed; `faulty` takes the allowance for waste under faults.
+/// Returns the required outcomes that were not reached.
+///
+/// With `faulty`, the limit of wasted tokens is the one for faults, and goodput is not checked.
 pub fn missed(site: &Site, results: &Results, faulty: bool) -> Vec<String> {
     let aims = &site.outcomes;
     let mut missed = Vec::new();
--- a/replay/src/scenario.rs
+++ b/replay/src/scenario.rs
@@ -1,4 +1,4 @@
-//! The faults that a trace is replayed under.
+//! Scenarios of faults under which traces are replayed.
 
 use derive_more::Display;
 use laburnumwheel_core::time::Span;
@@ -6,34 +6,34 @@
 use crate::simulation::Fault;
 use crate::site::Site;
 
-/// A set of faults in the burst.
+/// Faults that are injected in the burst of a trace.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display)]
 #[display(rename_all = "kebab-case")]
 pub enum Scenario {
-    /// Nothing fails.
+    /// No faults.
     None,
-    /// One engine becomes four times slower.
+    /// One engine becomes four times as slow.
     Straggler,
-    /// One engine crashes in the middle of its streams.
+    /// One engine crashes while it sends streams.
     Crash,
-    /// Both, at different engines.
+    /// One engine becomes four times as slow and another one crashes.
     StragglerAndCrash,
-    /// One engine stops by plan.
+    /// One engine makes a planned stop.
     StopEngine,
-    /// Load reports repeat themselves for ten seconds.
+    /// Load reports are out of date for ten seconds.
     FrozenReports,
-    /// All connections to one engine fall silent; new ones work.
+    /// Existing connections to one engine go silent; new ones work.
     Silence,
-    /// One router is gone without a word.
+    /// One router disappears without notice.
     LoseRouter,
-    /// One router stops by plan.
+    /// One router makes a planned stop.
     StopRouter,
-    /// The key-value service is out for a minute.
+    /// The key-value service is unavailable for a minute.
     Outage,
 }
 
 impl Scenario {
-    /// All of them.
+    /// All scenarios, in the order of a report.
     pub const ALL: [Scenario; 10] = [
         Scenario::None,
         Scenario::Straggler,
@@ -47,7 +47,7 @@
         Scenario::Outage,
     ];
 
-    /// Its faults, with their times in milliseconds of the trace.
+    /// Returns the faults, with their times in milliseconds of the trace.
     pub fn faults(self, site: &Site) -> Vec<(u64, Fault)> {
         let (from, _) = site.burst_ms;
         let at = |seconds: u64| from + seconds * 1_000;
--- a/replay/src/site.rs
+++ b/replay/src/site.rs
@@ -1,4 +1,4 @@
-//! The site a trace was recorded at, and the outcomes stated for it.
+//! Description of the site of a trace, and the outcomes that a replay at the site must reach.
 
 use laburnumwheel_core::config;
 use laburnumwheel_core::config::Config;
@@ -7,119 +7,121 @@
 
 use crate::error::Error;
 
-/// A site: sizes, delays, classes, and what a replay must reach.
+/// Site with its sizes, delays, classes, groups of upstreams and required outcomes.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Site {
-    /// Name.
+    /// Name of the site.
     pub name: String,
-    /// Failure domains.
+    /// Names of the failure domains.
     pub domains: Vec<String>,
-    /// Routers, spread over the domains.
+    /// Number of routers, which are spread over the failure domains.
     pub routers: usize,
-    /// One way between failure domains, in microseconds.
+    /// Time that a message takes between failure domains, in microseconds.
     pub between_domains_us: u64,
-    /// One way between callers and routers, in microseconds.
+    /// Time that a message takes between a caller and a router, in microseconds.
     pub to_callers_us: u64,
-    /// Engine step, in microseconds.
+    /// Duration of an engine's step, in microseconds.
     pub step_us: u64,
-    /// Time a call at a plain service takes, in microseconds.
+    /// Duration of a call at a plain service, in microseconds.
     pub work_us: u64,
-    /// Lateness of load reports, in microseconds.
+    /// Age of load reports when they arrive at a router, in microseconds.
     pub report_lag_us: u64,
-    /// Organisations: callers of each; a large one has many.
+    /// Number of callers of each organisation.
     pub callers: Vec<usize>,
-    /// Classes in the order of the trace.
+    /// Classes, which the trace refers to by their indices.
     pub class: Vec<Class>,
     /// Groups of upstreams.
     pub group: Vec<Group>,
-    /// The burst, in milliseconds of the trace.
+    /// Start and end of the burst, in milliseconds of the trace.
     pub burst_ms: (u64, u64),
-    /// What must be reached.
+    /// Required outcomes.
     pub outcomes: Outcomes,
 }
 
-/// A class as the trace uses it.
+/// Class of requests.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Class {
-    /// Name in the configuration.
+    /// Name of the class in the configuration.
     pub name: String,
-    /// Group that its requests go to.
+    /// Name of the group that serves its requests.
     pub group: String,
     /// Priority tier.
     pub tier: u8,
-    /// Never shed or preempted for a lower tier.
+    /// Whether its requests are never shed or preempted for a lower tier. Its attainment must then
+    /// reach the required one.
     #[serde(default)]
     pub protected: bool,
-    /// Target for the first token, in milliseconds.
+    /// Target for the time to first token, in milliseconds.
     pub first_token_ms: u64,
-    /// Target for the whole answer, in milliseconds.
+    /// Target for the time to the end of the answer, in milliseconds.
     pub finish_ms: u64,
-    /// Longest useful wait, in milliseconds.
+    /// Longest time for which a caller waits for the first token, in milliseconds.
     pub patience_ms: u64,
-    /// Its requests run at most once, under an idempotency key.
+    /// Whether its requests may run at most once; they have idempotency keys.
     #[serde(default)]
     pub once: bool,
 }
 
-/// A group of upstreams.
+/// Group of upstreams.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Group {
-    /// Name.
+    /// Name of the group.
     pub name: String,
-    /// Model, or none for a plain service.
+    /// Name of the model; `None` for a plain service.
     #[serde(default)]
     pub model: Option<String>,
-    /// Replicas, spread over the domains.
+    /// Number of replicas, which are spread over the failure domains.
     pub replicas: usize,
-    /// Slots of a replica.
+    /// Number of requests that a replica runs at a time.
     pub slots: u32,
 }
 
-/// What a replay must reach.
+/// Outcomes that a replay must reach.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Outcomes {
-    /// Attainment of protected classes, in percent.
+    /// Least attainment of each protected class, in percent.
     pub protected_attainment: f64,
-    /// Goodput against the best possible, in percent.
+    /// Least goodput relative to its upper bound, without faults, in percent.
     pub goodput: f64,
-    /// Wasted tokens without faults, in percent of all generated.
+    /// Upper bound on wasted tokens without faults, in percent of the generated ones.
     pub wasted: f64,
-    /// The same with a straggler and a crash.
+    /// Upper bound on wasted tokens with faults, in percent of the generated ones.
     pub wasted_faulty: f64,
-    /// Windows of the burst in which every class must be served, in milliseconds.
+    /// Length of the windows into which the burst is divided, in milliseconds; every class must be
+    /// served in each window.
     pub window_ms: u64,
 }
 
 impl Site {
-    /// Reads a site's file.
+    /// Parses the text of a site's file. Errors contain the name `file`.
     ///
     /// # Errors
     ///
-    /// [`Error::Outcomes`] if it is not what [`Site`] describes.
+    /// [`Error::Outcomes`] if the text does not describe a [`Site`].
     pub fn read(file: &str, text: &str) -> Result<Site, Error> {
         toml::from_str(text).map_err(|e| Error::Outcomes(file.to_owned(), e))
     }
 
-    /// The domain of the `i`th of many things spread over the domains.
+    /// Returns the failure domain of the router, upstream or caller with index `i`.
     pub fn domain(&self, i: usize) -> &str {
         &self.domains[i % self.domains.len()]
     }
 
-    /// Name of an organisation.
+    /// Returns the name of an organisation.
     pub fn organisation_name(&self, i: usize) -> String {
         format!("org-{i}")
     }
 
-    /// Bearer key of an organisation.
+    /// Returns the bearer key of an organisation.
     pub fn bearer_key(&self, i: usize) -> String {
         format!("key-of-org-{i}")
     }
 
-    /// The configuration that routers of the site have in force.
+    /// Returns the configuration of the site's routers.
     ///
     /// # Errors
     ///
-    /// [`Error::Config`] if the site does not make a valid one.
+    /// [`Error::Config`] if the configuration is invalid.
     pub fn config(&self) -> Result<Config, Error> {
         let mut text = String::new();
         for c in &self.class {
