--- a/replay/tests/keys.rs
+++ b/replay/tests/keys.rs
@@ -1,4 +1,4 @@
-//! Requests that may run at most once, under every failure that could run them twice.
+//! Requests with idempotency keys run at most once under crashes, pauses, stops and lost messages.
 
 mod support;
 
@@ -11,10 +11,10 @@
 
 use support::Cluster;
 
-/// A bidder's caller loses the connection and asks again, here and at another router. Both get
-/// the answer of the one run: the home has it, and the other router asks the home.
+/// A caller repeats a request at other routers, during its execution and after it. Each router
+/// forwards it to the key's home, which answers all with the result of the one execution.
 #[test]
-fn a_retry_gets_the_stored_answer_anywhere() {
+fn a_retry_gets_the_stored_answer_from_every_router() {
     // Arrange
     let mut cluster = Cluster::start(3, 1);
     let key = format!("{}bid-1", cluster.key_prefix(0));
@@ -33,7 +33,8 @@
     assert_eq!(cluster.executions_of("bid 1"), 1);
 }
 
-/// Two different bids under one key: the second is an error, not the first one's answer.
+/// Two different requests use the same key. The second must fail instead of getting the first
+/// one's answer.
 #[test]
 fn a_key_with_another_body_is_refused() {
     // Arrange
@@ -50,10 +51,10 @@
     assert_eq!(cluster.executions_of("bid 2"), 0);
 }
 
-/// The service runs a bid and its connection breaks before the answer. Nobody knows whether it
-/// ran; it is not run again, and a retry hears the same.
+/// The service runs a request and its connection breaks before the answer. The outcome is unknown
+/// to the router, so a retry must not run it again and gets the same verdict.
 #[test]
-fn a_lost_answer_is_unknown_and_stays_so() {
+fn a_lost_answer_stays_outcome_unknown() {
     // Arrange
     let mut cluster = Cluster::start(3, 3);
     cluster.break_every = 1;
@@ -72,10 +73,11 @@
     assert_eq!(cluster.executions_of("bid 1"), 1);
 }
 
-/// The home is killed while a bid runs. Retries at other routers hear that nobody knows, at once,
-/// also after the home's host runs a new process under the same name.
+/// The home of a key crashes during the execution. A retry at another router gets the verdict that
+/// the outcome is unknown, and so does one at a new incarnation of the home, which has no record of
+/// the key.
 #[test]
-fn a_crashed_home_never_runs_a_key_again() {
+fn a_key_of_a_crashed_home_never_runs_again() {
     // Arrange
     let mut cluster = Cluster::start(3, 4);
     let key = format!("{}bid-1", cluster.key_prefix(0));
@@ -88,19 +90,19 @@
     let other = cluster.submit(1, &key, "bid 1");
     cluster.restart(0);
     cluster.advance(Span::secs(10));
-    let reborn = cluster.submit(0, &key, "bid 1");
+    let restarted = cluster.submit(0, &key, "bid 1");
     cluster.advance(Span::secs(1));
 
     // Assert
     assert_eq!(cluster.verdict(1, other), Some(Verdict::OutcomeUnknown));
-    assert_eq!(cluster.verdict(0, reborn), Some(Verdict::OutcomeUnknown));
+    assert_eq!(cluster.verdict(0, restarted), Some(Verdict::OutcomeUnknown));
     assert!(cluster.executions_of("bid 1") <= 1);
 }
 
-/// The home freezes with a bid in hand, the caller tries elsewhere, and the home goes on: it still
-/// is the only one to run the bid.
+/// The home of a key is paused while the caller tries other routers. They must not run the request
+/// themselves; the home runs it once after it resumes.
 #[test]
-fn a_paused_home_that_returns_runs_it_once() {
+fn a_resumed_home_runs_a_key_once() {
     // Arrange
     let mut cluster = Cluster::start(3, 5);
     let key = format!("{}bid-1", cluster.key_prefix(0));
@@ -122,10 +124,11 @@
     assert_eq!(cluster.executions_of("bid 1"), 1);
 }
 
-/// The home stops by plan. Its keys go to a successor, and a retry anywhere gets the stored
-/// answer, although the key-value service is out and one message in seven is lost.
+/// The home of a key makes a planned stop and hands its keys over to a successor. A retry at any
+/// router must get the stored answer, also when the key-value service is unavailable and one
+/// message in seven is lost.
 #[test]
-fn a_planned_stop_hands_the_keys_over() {
+fn a_planned_stop_hands_keys_over() {
     // Arrange
     let mut cluster = Cluster::start(9, 6);
     cluster.network.store.mode = Mode::Down;
@@ -138,8 +141,11 @@
     cluster.handle(0, Event::Stop);
     cluster.advance(Span::secs(30));
     let retries: Vec<_> = (1..9).map(|i| (i, cluster.submit(i, &key, "bid 1"))).collect();
-    let fresh = format!("{}bid-2", key.split_once('~').expect("a prefix").0.to_owned() + "~");
-    let new = cluster.submit(5, &fresh, "bid 2");
+    let unused = format!(
+        "{}bid-2",
+        key.split_once('~').expect("the key should have a prefix").0.to_owned() + "~"
+    );
+    let new = cluster.submit(5, &unused, "bid 2");
     cluster.advance(Span::secs(10));
 
     // Assert
@@ -151,11 +157,11 @@
     assert_eq!((cluster.executions_of("bid 1"), cluster.executions_of("bid 2")), (1, 1));
 }
 
-/// Bids for a stopping home are forwarded to it all through its stop, by routers that have not
-/// heard yet. One that began after its keys were on their way to the successor would be unknown
-/// there, and run again: nothing begins any more once the home has frozen its table.
+/// Routers that do not know of a home's planned stop forward requests to it during the hand-over.
+/// A request that began after the keys were sent to the successor would be unknown there and run
+/// again. The home must start no request once it has frozen its table.
 #[test]
-fn bids_during_a_hand_over_run_once() {
+fn requests_during_a_handover_run_once() {
     for offset in 0..20 {
         // Arrange
         let mut cluster = Cluster::start(3, 8);
@@ -182,10 +188,10 @@
     }
 }
 
-/// A key from an entry answer of last week: its epoch is over and what became of it forgotten, so
-/// it must not run, however late the message with it arrives.
+/// A request has a key from an epoch whose outcomes were discarded. The router can't tell whether
+/// it ran, so it must not run.
 #[test]
-fn a_key_of_a_forgotten_epoch_never_runs() {
+fn a_key_of_a_discarded_epoch_never_runs() {
     // Arrange
     let mut cluster = Cluster::start(3, 7);
     let key = format!("{}bid-1", cluster.key_prefix(0));
@@ -195,16 +201,16 @@
     // Act
     cluster.advance(Span(idempotency::EPOCH_LENGTH.0 * 2));
     let late = cluster.submit(0, &key, "bid 1");
-    let unseen = cluster.submit(1, &format!("{}bid-2", key.trim_end_matches("bid-1")), "bid 2");
+    let unused = cluster.submit(1, &format!("{}bid-2", key.trim_end_matches("bid-1")), "bid 2");
     cluster.advance(Span::secs(1));
 
     // Assert
     assert_eq!(cluster.verdict(0, late), Some(Verdict::OutcomeUnknown));
-    assert_eq!(cluster.verdict(1, unseen), Some(Verdict::OutcomeUnknown));
+    assert_eq!(cluster.verdict(1, unused), Some(Verdict::OutcomeUnknown));
     assert_eq!((cluster.executions_of("bid 1"), cluster.executions_of("bid 2")), (1, 0));
 }
 
-/// A step of a random history.
+/// Operation of a random history.
 #[derive(Clone, Debug)]
 enum Operation {
     Submit { router: usize, home: usize, bid: u8 },
@@ -237,10 +243,10 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 48, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever callers, crashes, pauses, stops, cuts and lost messages do, nothing runs twice,
-    /// and nothing runs of which every submission was said not to have run.
+    /// Under crashes, pauses, stops, partitions and lost messages no request runs twice, and none
+    /// runs whose submissions all got the verdict that it did not run.
     #[test]
-    fn nothing_ever_runs_twice(
+    fn no_request_runs_twice(
         history in proptest::collection::vec(operations(), 1..60),
         lose in prop_oneof![Just(0u64), Just(4)],
         break_every in prop_oneof![Just(0u32), Just(3)],
@@ -251,8 +257,8 @@
         cluster.break_every = break_every;
         let prefixes: Vec<String> = (0..4).map(|i| cluster.key_prefix(i)).collect();
         let mut sent = Vec::new();
-        for step in history {
-            match step {
+        for operation in history {
+            match operation {
                 Operation::Submit { router, home, bid } => {
                     let body = format!("bid {home} {bid}");
                     let key = format!("{}{bid}", prefixes[home]);
@@ -260,7 +266,8 @@
                     sent.push((router, id, body));
                 }
                 Operation::Kill(router) => cluster.network.kill(router),
-                Operation::Restart(router) if !cluster.network.is_running(router) => cluster.restart(router),
+                Operation::Restart(router)
+                    if !cluster.network.is_running(router) => cluster.restart(router),
                 Operation::Restart(_) => {}
                 Operation::Pause(router) => cluster.network.pause(router),
                 Operation::Resume(router) => cluster.network.resume(router),
@@ -276,10 +283,10 @@
 
         for (body, runs) in &cluster.executions {
             prop_assert!(*runs <= 1, "{body:?} ran {runs} times");
-            let said = sent.iter().filter(|(_, _, b)| b.as_bytes() == body);
-            let verdicts: Vec<_> = said.map(|(r, id, _)| cluster.verdict(*r, *id)).collect();
+            let submissions = sent.iter().filter(|(_, _, b)| b.as_bytes() == body);
+            let verdicts: Vec<_> = submissions.map(|(r, id, _)| cluster.verdict(*r, *id)).collect();
             let denied = verdicts.iter().all(|v| *v == Some(Verdict::NotRun));
-            prop_assert!(!denied, "{body:?} ran and all were told not_run");
+            prop_assert!(!denied, "{body:?} ran, but all its submissions got not_run");
         }
     }
 }
--- a/replay/tests/leaving.rs
+++ b/replay/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! An upstream that is leaving gets nothing new within 3 s of the first hint, at any router.
+//! No router sends new work to a leaving upstream later than 3 s after the first sign.
 
 mod support;
 
@@ -10,16 +10,17 @@
 
 use support::Cluster;
 
-const WITHIN: Span = Span::secs(3);
+/// Upper bound on the time until no router sends work to the upstream.
+const TIMEOUT: Span = Span::secs(3);
 
-/// Whether any router would still send work to the upstream.
-fn open_anywhere(cluster: &Cluster, name: &str) -> bool {
+/// Whether any router may still send work to the upstream.
+fn usable_anywhere(cluster: &Cluster, name: &str) -> bool {
     let nodes = (0..cluster.network.len()).filter_map(|i| cluster.network.node(i));
     nodes.flat_map(|n| n.upstreams()).any(|u| u.name == name && !u.leaving)
 }
 
-/// The platform lists a host as leaving. Nine routers read that list one after another, each
-/// rarely; whoever reads it first tells the others.
+/// The platform lists a host as leaving. Each of nine routers reads that list rarely; the first one
+/// to read it must notify the others.
 #[test]
 fn the_host_list_reaches_every_router() {
     for seed in 0..20 {
@@ -28,17 +29,18 @@
 
         // Act
         cluster.network.store.put(LEAVING_HOSTS_KEY, Bytes::from_static(b"[\"s1\"]"));
-        let took = cluster.advance_until(WITHIN, |c| !open_anywhere(c, "s1"));
+        let took = cluster.advance_until(TIMEOUT, |c| !usable_anywhere(c, "s1"));
 
         // Assert
         assert!(took.is_some(), "seed {seed}");
-        assert!(open_anywhere(&cluster, "s2"));
+        assert!(usable_anywhere(&cluster, "s2"));
     }
 }
 
-/// One router meets a refusal while the key-value service is out: the others hear of it at once.
+/// An upstream refuses an attempt of one router as leaving while the key-value service is
+/// unavailable. The router must notify the others.
 #[test]
-fn a_refusal_met_by_one_router_reaches_every_other() {
+fn a_refusal_at_one_router_reaches_all_others() {
     // Arrange
     let mut cluster = Cluster::start(9, 1);
     cluster.network.store.mode = Mode::Down;
@@ -47,8 +49,8 @@
 
     // Act
     cluster.handle(4, Event::Failed(attempt, laburnumwheel_core::event::Failure::Leaving));
-    let took =
-        cluster.advance_until(WITHIN, |c| ["s1", "s2"].iter().any(|name| !open_anywhere(c, name)));
+    let took = cluster
+        .advance_until(TIMEOUT, |c| ["s1", "s2"].iter().any(|name| !usable_anywhere(c, name)));
 
     cluster.advance(Span::secs(1));
 
--- a/replay/tests/limits.rs
+++ b/replay/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Limits of organisations over nine routers: the overshoot and its bound.
+//! Rate limits of organisations hold over nine routers, with a bounded overshoot.
 
 mod support;
 
@@ -8,9 +8,10 @@
 
 use support::Cluster;
 
+/// Limit of the organisation in requests per second.
 const LIMIT: f64 = 90.0;
 
-/// Nine routers and an organisation with a limit of 90 requests a second.
+/// Starts nine routers with a limit on the organisation.
 fn limited(seed: u64) -> Cluster {
     let mut cluster = Cluster::start(9, seed);
     let mut limited = support::config(1);
@@ -21,8 +22,8 @@
     cluster
 }
 
-/// Offers `offered` requests a second for `seconds`, spread by `weights` over the routers; returns
-/// how many were taken a second.
+/// Submits `offered` requests per second for `seconds`, divided among the routers by `weights`, and
+/// returns the number of accepted requests per second.
 fn offer(cluster: &mut Cluster, offered: f64, seconds: u64, weights: [u64; 9]) -> f64 {
     let total: u64 = weights.iter().sum();
     let mut due = [0.0; 9];
@@ -48,10 +49,10 @@
 const EVEN: [u64; 9] = [1; 9];
 const UNEVEN: [u64; 9] = [20, 5, 1, 1, 1, 1, 1, 0, 0];
 
-/// An organisation offers four times its limit, evenly or almost all at one router: it gets its
-/// limit, not a ninth of it and not nine times it.
+/// An organisation submits four times its limit, evenly or mostly at one router. It must get its
+/// limit: neither a ninth of it nor nine times it.
 #[test]
-fn the_limit_holds_in_steady_load() {
+fn the_limit_holds_under_steady_load() {
     for (weights, least) in [(EVEN, 0.9), (UNEVEN, 0.85)] {
         // Arrange
         let mut cluster = limited(1);
@@ -66,7 +67,8 @@
     }
 }
 
-/// A burst after a pause: every router may spend one bucket, a second of its share, once.
+/// In a burst after a pause each router may spend one full bucket, which holds its share of a
+/// second, in addition to the limit.
 #[test]
 fn a_burst_overshoots_by_one_bucket() {
     // Arrange
@@ -80,10 +82,10 @@
     assert!(taken <= (10.0 + 1.0 + 1.5) * LIMIT, "{taken}");
 }
 
-/// A router is lost and the service is out: the rest share the whole limit again soon, and not
-/// more.
+/// A router is lost while the key-value service is unavailable. The others must divide the whole
+/// limit among them, and no more.
 #[test]
-fn a_lost_router_s_share_is_used_by_the_others() {
+fn the_share_of_a_lost_router_goes_to_the_others() {
     // Arrange
     let mut cluster = limited(3);
     offer(&mut cluster, 360.0, 5, EVEN);
@@ -100,10 +102,10 @@
     assert!((0.85 * LIMIT..=1.15 * LIMIT).contains(&taken), "{taken}");
 }
 
-/// Two sides of a partition can't know of each other's use. Each holds the limit: together they
-/// may take twice, never nine times it.
+/// The two sides of a partition do not know each other's use. Each side must hold the limit, so
+/// that both together accept at most twice the limit.
 #[test]
-fn a_partition_allows_one_limit_a_side() {
+fn each_side_of_a_partition_holds_the_limit() {
     // Arrange
     let mut cluster = limited(4);
     cluster.network.partition(&[0, 1, 2, 3]);
--- a/replay/tests/members.rs
+++ b/replay/tests/members.rs
@@ -1,4 +1,4 @@
-//! Membership under failures, with three and nine routers.
+//! Membership of routers under crashes, pauses, partitions, lost messages and outages.
 
 mod support;
 
@@ -8,10 +8,10 @@
 
 use support::Cluster;
 
-/// Callers are sent to a router that is gone. Its process is killed; no list says so. The routers
-/// before it in the ring notice within two probes and tell the others.
+/// A router is killed and nothing announces it. The routers before it in the ring must detect that
+/// by their probes and notify the others; until then, callers are sent to the dead router.
 #[test]
-fn a_dead_router_is_out_of_entry_answers_within_5_s() {
+fn a_dead_router_leaves_entry_answers_within_5_s() {
     for routers in [3, 9] {
         // Arrange
         let mut cluster = Cluster::start(routers, 1);
@@ -27,10 +27,11 @@
     }
 }
 
-/// Callers find fewer and fewer routers during an outage of the key-value service. With leases
-/// there, all would lapse. Here routers vouch for each other, and a dead one is still noticed.
+/// The key-value service is unavailable for minutes. Leases in it would expire and remove all
+/// routers. Routers probe each other instead: none may be removed, and a dead one must still be
+/// detected.
 #[test]
-fn an_outage_removes_nobody_and_hides_no_death() {
+fn an_outage_removes_no_router_and_hides_no_crash() {
     // Arrange
     let mut cluster = Cluster::start(9, 2);
     cluster.network.store.mode = Mode::Down;
@@ -48,10 +49,10 @@
     }
 }
 
-/// A router starts while the key-value service is out. It knows the peers that its settings name
-/// and gets members and configuration from them.
+/// A router starts while the key-value service is unavailable. It must get the members and the
+/// configuration from the peers in its settings.
 #[test]
-fn a_new_router_starts_from_peers_alone() {
+fn a_new_router_starts_from_its_peers_alone() {
     // Arrange
     let mut cluster = Cluster::start(3, 3);
     cluster.network.store.mode = Mode::Down;
@@ -70,29 +71,29 @@
     }
 }
 
-/// A router freezes for ten seconds, is taken for dead, and goes on as if nothing had happened.
-/// It learns what is said of it and clears itself with a higher version of its record.
+/// A router is paused for ten seconds and declared dead. After it resumes, it must learn of that
+/// and refute it with a higher version of its record.
 #[test]
-fn a_paused_router_comes_back() {
+fn a_resumed_router_is_a_member_again() {
     // Arrange
     let mut cluster = Cluster::start(9, 4);
 
     // Act
     cluster.network.pause(2);
     cluster.advance(Span::secs(10));
-    let gone = (0..9).filter(|i| *i != 2).all(|i| !cluster.lists(i, 2));
+    let removed = (0..9).filter(|i| *i != 2).all(|i| !cluster.lists(i, 2));
     cluster.network.resume(2);
     cluster.advance(Span::secs(15));
 
     // Assert
-    assert!(gone);
+    assert!(removed);
     for i in 0..9 {
         assert_eq!(cluster.serving_seen_by(i), 9, "router {i}");
     }
 }
 
-/// Two regions lose each other for an hour, and each buries the other's routers. When the link is
-/// back, probes of the dead find them alive, and the lists become one again.
+/// A partition lasts an hour, and each side declares the other's routers dead. After it, probes of
+/// dead routers must find them alive, so that all routers have the same members again.
 #[test]
 fn a_partition_heals() {
     // Arrange
@@ -101,21 +102,21 @@
 
     // Act
     cluster.advance(Span::secs(3_600));
-    let apart = (cluster.serving_seen_by(0), cluster.serving_seen_by(8));
+    let during = (cluster.serving_seen_by(0), cluster.serving_seen_by(8));
     cluster.network.unreachable.clear();
     cluster.advance(Span::secs(30));
 
     // Assert
-    assert_eq!(apart, (4, 5));
+    assert_eq!(during, (4, 5));
     for i in 0..9 {
         assert_eq!(cluster.serving_seen_by(i), 9, "router {i}");
     }
 }
 
-/// One message in five is lost, and routers still hold each other for alive: a lost probe is
-/// repeated and helped before it counts.
+/// One message in five is lost. Lost probes are repeated, also through other routers, before a
+/// router is declared dead, so that live routers are rarely removed and soon return.
 #[test]
-fn lost_messages_condemn_nobody_for_long() {
+fn lost_messages_remove_no_router_for_long() {
     // Arrange
     let mut cluster = Cluster::start(9, 6);
     cluster.network.drop_every = 5;
@@ -133,11 +134,11 @@
     assert!(seen.iter().all(|n| *n >= 8));
 }
 
-/// Every connection between routers falls silent at once, because something between them lost
-/// track of them, while new ones work. Each is dialled anew before its other end is judged, so no
-/// caller is sent away from a healthy router.
+/// All connections between routers go silent at once, as when a device between them loses its
+/// connection table; new connections work. A router must reconnect before it declares a peer dead,
+/// so that healthy routers stay in entry answers.
 #[test]
-fn silent_connections_are_dialled_anew_before_anyone_is_judged() {
+fn silent_connections_are_reopened_before_a_peer_is_declared_dead() {
     // Arrange
     let mut cluster = Cluster::start(9, 9);
     let pairs = (0..9).flat_map(|a| (0..9).map(move |b| (a, b)));
@@ -154,10 +155,10 @@
     assert_eq!(least, 9);
 }
 
-/// A planned stop: entry answers everywhere leave the router out at once, and it serves on for the
-/// time that callers may keep an answer, then exits.
+/// A router makes a planned stop. All entry answers must omit it within seconds, while it serves
+/// for as long as callers may keep an earlier answer. Then it exits.
 #[test]
-fn a_leaving_router_is_named_nowhere_and_exits() {
+fn a_leaving_router_is_omitted_from_entry_answers_and_exits() {
     // Arrange
     let mut cluster = Cluster::start(9, 7);
 
@@ -177,9 +178,9 @@
     assert!(!cluster.network.is_running(3));
 }
 
-/// What nine idle routers cost: bytes between them and calls to the key-value service.
+/// Nine idle routers must send few bytes to each other and few calls to the key-value service.
 #[test]
-fn an_idle_minute_is_cheap() {
+fn idle_routers_cause_little_traffic() {
     // Arrange
     let mut cluster = Cluster::start(9, 8);
     let (bytes, reads, writes) =
--- a/replay/tests/orders.rs
+++ b/replay/tests/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to upstreams: one orderer at a time, whatever pauses, delays and lost replies do.
+//! Orders to upstreams come from one router at a time, under pauses, delays and lost replies.
 
 mod support;
 
@@ -27,7 +27,8 @@
             i + 1
         );
     }
-    config::parse(&[Source { name: "test".to_owned(), text }]).expect("a valid file")
+    config::parse(&[Source { name: "test".to_owned(), text }])
+        .expect("the configuration should be valid")
 }
 
 fn start(checks_fencing: bool, seed: u64) -> Cluster {
@@ -39,7 +40,7 @@
     cluster
 }
 
-/// Lets time pass while routers hear what engines have.
+/// Runs the cluster for a time, with reports of the engines' deployments.
 fn advance(cluster: &mut Cluster, seconds: u64) {
     for _ in 0..seconds * 2 {
         cluster.report_deployments();
@@ -51,11 +52,12 @@
     cluster.engines.values().map(|e| e.deployment.version.as_str()).collect()
 }
 
-fn orderer(cluster: &Cluster) -> usize {
-    cluster.orders.last().expect("an order").1
+/// Returns the router that sent the last order.
+fn last_sender(cluster: &Cluster) -> usize {
+    cluster.orders.last().expect("an order should have been sent").1
 }
 
-/// A new version is ordered everywhere, by one router, two engines at a time.
+/// A new version is published. One router orders it for all engines, two at a time.
 #[test]
 fn a_group_is_brought_to_its_deployment() {
     // Arrange
@@ -74,12 +76,11 @@
     assert_eq!(cluster.orders.iter().filter(|o| o.0 == first).count(), 2);
 }
 
-/// The orderer freezes with orders for v2 on their way and believes in its lease when it wakes.
-/// Another router has ordered v3 meanwhile. The old orders arrive after the new ones: engines that
-/// check fencing numbers refuse them; for those that do not, the new holder has waited until they
-/// had arrived.
+/// The leaseholder is paused while its orders are delayed, and another router orders v3 meanwhile.
+/// Engines that check fencing tokens must refuse the delayed orders if they arrive after the new
+/// ones. For other engines the new leaseholder must wait until the delayed orders have arrived.
 #[test]
-fn a_paused_orderer_does_no_harm() {
+fn a_paused_leaseholder_does_not_undo_newer_orders() {
     for checks_fencing in [true, false] {
         // Arrange
         let mut cluster = start(checks_fencing, 2);
@@ -90,7 +91,7 @@
                 advance(&mut cluster, 1);
                 cluster.orders.last().map(|o| o.1)
             })
-            .expect("an order");
+            .expect("an order should have been sent");
         let late = if checks_fencing { Span::secs(60) } else { order::MAX_ORDER_DELAY };
         cluster.order_delay.insert(old, late);
         cluster.network.store.publish(3, &config("v2b", checks_fencing));
@@ -100,13 +101,13 @@
         cluster.network.pause(old);
         cluster.network.store.publish(4, &config("v3", checks_fencing));
         advance(&mut cluster, 45);
-        let new = orderer(&cluster);
+        let new = last_sender(&cluster);
         cluster.network.resume(old);
         advance(&mut cluster, 90);
 
         // Assert
         assert_ne!(new, old);
-        assert_eq!(versions(&cluster), vec!["v3"; ENGINES], "checks_fencing {checks_fencing}");
+        assert_eq!(versions(&cluster), vec!["v3"; ENGINES], "checks_fencing = {checks_fencing}");
         for (name, engine) in &cluster.engines {
             let last_old = engine.loaded.iter().rposition(|v| v != "v3");
             let first_new = engine.loaded.iter().position(|v| v == "v3");
@@ -115,9 +116,10 @@
     }
 }
 
-/// Fencing numbers only grow from one orderer to the next, and two never order at the same time.
+/// The leaseholder changes several times. Fencing tokens of orders must never decrease, so that the
+/// orders of two leaseholders do not overlap.
 #[test]
-fn orders_of_two_holders_never_overlap() {
+fn orders_of_two_leaseholders_never_overlap() {
     // Arrange
     let mut cluster = start(true, 3);
 
@@ -140,8 +142,8 @@
     assert_eq!(versions(&cluster), vec!["v7"; ENGINES]);
 }
 
-/// The reply to the write of the lease is lost. The orderer finds its own write by reading, and
-/// counts the lease from when it sent the write.
+/// The reply to the write of the lease is lost. The router must find its own write by reading, and
+/// hold the lease from the time at which it sent the write.
 #[test]
 fn a_lost_reply_to_the_lease_is_found_by_reading() {
     // Arrange
@@ -157,7 +159,8 @@
     assert_eq!(versions(&cluster), vec!["v2"; ENGINES]);
 }
 
-/// The service is out: nobody can show that it holds the lease, so nobody orders.
+/// The key-value service is unavailable. No router can verify that it holds the lease, so none may
+/// send orders.
 #[test]
 fn an_outage_stops_orders_when_the_lease_ends() {
     // Arrange
--- a/replay/tests/rolling.rs
+++ b/replay/tests/rolling.rs
@@ -1,4 +1,4 @@
-//! A rolling restart of nine routers in virtual time, under steady load.
+//! A rolling restart of nine routers under steady load.
 
 mod support;
 
@@ -9,33 +9,36 @@
 use support::Cluster;
 
 const ROUTERS: usize = 9;
-/// Callers keep an entry answer for this long.
+/// Time for which callers keep an entry answer.
 const ENTRY_TTL: Span = Span::secs(10);
 
-/// A caller that keeps its router for the answer's time to live, then takes the next that takes
-/// callers.
+/// Caller that uses a router until its entry answer expires.
 struct Caller {
     router: usize,
     prefix: String,
+    /// Requests that it submits before the answer expires.
     left: u64,
 }
 
 fn entry(cluster: &mut Cluster, number: usize) -> Caller {
     let now = cluster.network.now;
-    let asked =
+    let queried =
         (0..ROUTERS).map(|i| (i + number) % ROUTERS).find(|i| cluster.network.is_running(*i));
-    let node = cluster.network.node_mut(asked.expect("a router")).expect("it runs");
-    let answer = node.entry(now, None, None).expect("an answer");
+    let node = cluster
+        .network
+        .node_mut(queried.expect("a router should be running"))
+        .expect("the router should be running");
+    let answer = node.entry(now, None, None).expect("the router should answer");
     let first = &answer.addresses[0];
     let number = first.address.rsplit(':').next().and_then(|p| p.parse::<usize>().ok());
-    let router = number.expect("a port") - 9000;
+    let router = number.expect("the address should have a port") - 9000;
     Caller { router, prefix: first.key_prefix.clone(), left: ENTRY_TTL.as_millis() / 100 }
 }
 
-/// Every router is replaced, one after another, while six callers send bids. Each bid is answered
-/// whole by the router its caller knows, and none runs twice.
+/// All routers are restarted, one after another, while six callers submit requests. Each request
+/// must get its complete answer from the router that its caller uses, and run exactly once.
 #[test]
-fn a_rolling_restart_refuses_nothing_and_doubles_nothing() {
+fn requests_run_exactly_once_during_a_rolling_restart() {
     // Arrange
     let mut cluster = Cluster::start(ROUTERS, 1);
     let mut callers: Vec<Caller> = (0..6).map(|n| entry(&mut cluster, n)).collect();
--- a/replay/tests/spread.rs
+++ b/replay/tests/spread.rs
@@ -1,4 +1,4 @@
-//! How evenly entry answers spread callers that keep them, with a few large organisations.
+//! Entry answers spread the callers of large and small organisations over all routers.
 
 mod support;
 
@@ -7,12 +7,14 @@
 use support::Cluster;
 
 const ROUTERS: usize = 9;
-/// Callers of each organisation: three are large.
+/// Number of callers of each organisation, three of which are large.
 const CALLERS: [usize; 10] = [40, 30, 20, 4, 4, 4, 4, 4, 4, 4];
+/// Time for which callers keep an entry answer, in seconds.
 const ENTRY_TTL_S: u64 = 10;
 
-/// Ten organisations keep their answers for 10 s. No router gets much more than its part of the
-/// callers, and most callers get a router in their own failure domain.
+/// Callers keep their entry answers for 10 s, which could concentrate them on few routers. No
+/// router may get much more than its share, and most callers must get a router in their own failure
+/// domain.
 #[test]
 fn callers_are_spread_over_all_routers() {
     // Arrange
@@ -29,13 +31,16 @@
                 continue;
             }
             let now = cluster.network.now;
-            let asked = (caller + second as usize) % ROUTERS;
+            let queried = (caller + second as usize) % ROUTERS;
             let domain = if caller % 2 == 0 { "a" } else { "b" };
-            let node = cluster.network.node_mut(asked).expect("it runs");
-            let answer = node.entry(now, Some(domain), None).expect("an answer");
+            let node = cluster.network.node_mut(queried).expect("the router should be running");
+            let answer = node.entry(now, Some(domain), None).expect("the router should answer");
             let first = &answer.addresses[0];
             let port = first.address.rsplit(':').next().and_then(|p| p.parse::<usize>().ok());
-            *place = (port.expect("a port") - 9000, first.failure_domain == domain);
+            *place = (
+                port.expect("the address should have a port") - 9000,
+                first.failure_domain == domain,
+            );
             draws += 1;
             near += u32::from(place.1);
         }
--- a/replay/tests/support/mod.rs
+++ b/replay/tests/support/mod.rs
@@ -1,4 +1,5 @@
-//! A few routers, a plain service that counts its runs, and callers.
+//! Test cluster: routers, engines that are deployed by orders, and a plain service that counts its
+//! executions.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
@@ -28,47 +29,52 @@
 use laburnumwheel_replay::network::Step;
 
 const BETWEEN_DOMAINS: Span = Span(1_500);
+/// Duration of a call at the service.
 pub const WORK: Span = Span::millis(20);
 
-/// What happens at the service.
+/// Scheduled item of the cluster, with the index of its router.
 #[derive(Debug)]
 pub enum Item {
-    /// A call arrives.
+    /// A call arrives at the service.
     Arrive(usize, Box<Dispatch>),
-    /// Its answer leaves.
+    /// The service answers a call.
     Answer(usize, Box<Dispatch>),
     /// An order arrives at an engine.
     Order(usize, Order),
 }
 
-/// What an engine was ordered.
+/// Engine that performs orders.
 #[derive(Clone, Debug, Default)]
 pub struct Engine {
+    /// Whether it refuses orders with a lower fencing token than that of its last order.
     pub checks_fencing: bool,
+    /// Fencing token of its last order.
     pub fence: i64,
+    /// Deployment of its last order.
     pub deployment: Deployment,
-    /// Versions in the order they were loaded.
+    /// Versions in the order in which they were loaded.
     pub loaded: Vec<String>,
-    /// Orders refused for their fencing number.
+    /// Number of orders refused for their fencing tokens.
     pub refused: u32,
 }
 
 /// A cluster under test.
 pub struct Cluster {
     pub network: Network<Item>,
-    /// How often each body ran.
+    /// Number of executions of each body.
     pub executions: BTreeMap<Bytes, u32>,
     /// Outcomes by router and request.
     pub outcomes: BTreeMap<(usize, RequestId), Outcome>,
-    /// Routers that have exited by plan.
+    /// Routers that exited after a planned stop.
     pub exited: Vec<usize>,
-    /// Calls whose connection breaks after they ran: every so many, 0 for none.
+    /// Number of calls of which the last one's connection breaks after its execution; 0 if none
+    /// breaks.
     pub break_every: u32,
     /// Engines by name.
     pub engines: BTreeMap<String, Engine>,
-    /// Time that orders of a router are on their way.
+    /// Time that orders of a router take.
     pub order_delay: BTreeMap<usize, Span>,
-    /// Orders sent: time, router and fencing number.
+    /// Time, router and fencing token of each order sent.
     pub orders: Vec<(Time, usize, i64)>,
     calls: u32,
     next: u64,
@@ -76,7 +82,8 @@
     seed: u64,
 }
 
-/// A configuration with one class, one plain service of two replicas and so many organisations.
+/// Returns a configuration with one class, a plain service with two replicas and `orgs`
+/// organisations.
 pub fn config(orgs: usize) -> Config {
     let mut text = "[[class]]\nname = \"c\"\ntier = 0\nfirst_token_ms = 500\n\
          [[group]]\nname = \"s\"\nkind = \"service\"\n"
@@ -93,10 +100,11 @@
             "[[organisation]]\nname = \"org-{i}\"\nkey_hash = \"{hash}\"\ndefault_class = \"c\"\n"
         );
     }
-    config::parse(&[Source { name: "test".to_owned(), text }]).expect("a valid file")
+    config::parse(&[Source { name: "test".to_owned(), text }])
+        .expect("the configuration should be valid")
 }
 
-/// A node of the cluster with the number `i`.
+/// Returns a node of the cluster with the index `i`.
 pub fn node(i: usize, incarnation: u64, seed: u64, network: &Network<Item>) -> Router {
     let settings =
         network::settings(i, if i.is_multiple_of(2) { "a" } else { "b" }, incarnation, seed);
@@ -104,7 +112,7 @@
 }
 
 impl Cluster {
-    /// So many routers, serving, with a configuration in force.
+    /// Starts a cluster whose routers all serve with a configuration in force.
     pub fn start(routers: usize, seed: u64) -> Cluster {
         let mut cluster = Cluster {
             network: Network::new(BETWEEN_DOMAINS),
@@ -132,14 +140,14 @@
         cluster
     }
 
-    /// Starts a new run of a router that is down.
+    /// Starts a new incarnation of a router that is not running.
     pub fn restart(&mut self, router: usize) {
         self.incarnation += 1;
-        let fresh = node(router, self.incarnation, self.seed, &self.network);
-        self.network.start(router, fresh);
+        let node = node(router, self.incarnation, self.seed, &self.network);
+        self.network.start(router, node);
     }
 
-    /// Lets time pass.
+    /// Runs the cluster for a time.
     pub fn advance(&mut self, span: Span) {
         let until = self.network.now + span;
         while let Some(step) = self.network.next(until) {
@@ -152,10 +160,15 @@
         }
     }
 
-    /// Lets time pass until a condition holds; returns how long that took.
-    pub fn advance_until(&mut self, most: Span, done: impl Fn(&Cluster) -> bool) -> Option<Span> {
+    /// Runs the cluster until a condition holds and returns the time that took; `None` if the
+    /// condition does not hold within `timeout`.
+    pub fn advance_until(
+        &mut self,
+        timeout: Span,
+        done: impl Fn(&Cluster) -> bool,
+    ) -> Option<Span> {
         let began = self.network.now;
-        while self.network.now.since(began) < most {
+        while self.network.now.since(began) < timeout {
             if done(self) {
                 return Some(self.network.now.since(began));
             }
@@ -185,7 +198,7 @@
         self.handle(router, Event::Ordered(order.upstream, result));
     }
 
-    /// All routers hear what the engines have.
+    /// Reports the deployments of all engines to all routers.
     pub fn report_deployments(&mut self) {
         for (name, engine) in self.engines.clone() {
             for router in 0..self.network.len() {
@@ -216,8 +229,8 @@
             match action {
                 Action::Dispatch(d) => self.network.schedule(Span(500), Item::Arrive(router, d)),
                 Action::Finish(id, outcome) => {
-                    let before = self.outcomes.insert((router, id), outcome);
-                    assert_eq!(before, None, "a request ends once");
+                    let previous = self.outcomes.insert((router, id), outcome);
+                    assert_eq!(previous, None, "a request must end only once");
                 }
                 Action::Order(order) => {
                     self.orders.push((self.network.now, router, order.fence));
@@ -230,14 +243,14 @@
         }
     }
 
-    /// The key prefix of a router.
+    /// Returns the idempotency key prefix of a router.
     pub fn key_prefix(&self, router: usize) -> String {
-        let node = self.network.node(router).expect("it runs");
-        let own = node.members().next().expect("itself");
+        let node = self.network.node(router).expect("the router should be running");
+        let own = node.members().next().expect("a node should list itself");
         laburnumwheel_core::idempotency::prefix(&own.home(), own.epoch)
     }
 
-    /// Sends a call that may run once; the body is `body`.
+    /// Submits a call that may run at most once. An empty `key` stands for none.
     pub fn submit(&mut self, router: usize, key: &str, body: &str) -> RequestId {
         let id = RequestId(self.next);
         self.next += 1;
@@ -262,18 +275,18 @@
         id
     }
 
-    /// Sends an event to a router.
+    /// Handles an event at a router and performs its actions.
     pub fn handle(&mut self, router: usize, event: Event) {
         let actions = self.network.handle(router, event);
         self.perform(router, actions);
     }
 
-    /// How a request ended.
+    /// Returns the outcome of a request that ended.
     pub fn outcome(&self, router: usize, id: RequestId) -> Option<&Outcome> {
         self.outcomes.get(&(router, id))
     }
 
-    /// What is known of a request that ended without a whole answer.
+    /// Returns the verdict of a request that ended without a complete answer.
     pub fn verdict(&self, router: usize, id: RequestId) -> Option<Verdict> {
         match self.outcome(router, id)? {
             Outcome::Whole { .. } => None,
@@ -281,29 +294,29 @@
         }
     }
 
-    /// Whether a request got its whole answer.
+    /// Whether a request got its complete answer.
     pub fn is_whole(&self, router: usize, id: RequestId) -> bool {
         matches!(self.outcome(router, id), Some(Outcome::Whole { status: 200, .. }))
     }
 
-    /// How often a body ran.
+    /// Returns the number of executions of a body.
     pub fn executions_of(&self, body: &str) -> u32 {
         self.executions.get(body.as_bytes()).copied().unwrap_or(0)
     }
 
-    /// Routers that callers may be sent to, in this router's view.
+    /// Returns the number of routers that accept callers in the view of a router.
     pub fn serving_seen_by(&self, router: usize) -> usize {
-        let node = self.network.node(router).expect("it runs");
+        let node = self.network.node(router).expect("the router should be running");
         node.members().filter(|r| r.accepts_callers()).count()
     }
 
-    /// Whether a router's entry answers may name another.
+    /// Whether the entry answers of a router may list another one.
     pub fn lists(&self, router: usize, other: usize) -> bool {
-        let node = self.network.node(router).expect("it runs");
+        let node = self.network.node(router).expect("the router should be running");
         node.members().any(|r| r.accepts_callers() && r.name == format!("r{other}"))
     }
 
-    /// Version in force at a router.
+    /// Returns the version of the configuration in force at a router.
     pub fn version(&self, router: usize) -> u64 {
         self.network.node(router).map_or(0, Node::config_version)
     }
--- a/replay/tests/traces.rs
+++ b/replay/tests/traces.rs
@@ -1,5 +1,5 @@
-//! The committed traces against their stated outcomes, without and with faults, and against the
-//! baselines.
+//! Replays of the committed traces reach the required outcomes, with and without faults, and serve
+//! protected classes at least as well as the baselines.
 
 use laburnumwheel_replay::baseline::Kind;
 use laburnumwheel_replay::report;
@@ -16,15 +16,18 @@
 fn load(name: &str) -> (Site, Vec<Record>) {
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/../traces");
     let read = |end: &str| std::fs::read_to_string(format!("{folder}/{name}.{end}"));
-    let site = Site::read(name, &read("toml").expect("the file")).expect("a site");
-    let records = trace::read(name, &read("csv").expect("the file")).expect("a trace");
+    let site = Site::read(name, &read("toml").expect("the file should be readable"))
+        .expect("the site should be valid");
+    let records = trace::read(name, &read("csv").expect("the file should be readable"))
+        .expect("the trace should be valid");
     (site, records)
 }
 
 fn replay(name: &str, policy: Policy, scenario: Scenario) -> (Site, Results) {
     let (site, records) = load(name);
     let faults = scenario.faults(&site);
-    let results = simulation::run(&site, &records, policy, &faults, SEED).expect("a valid site");
+    let results = simulation::run(&site, &records, policy, &faults, SEED)
+        .expect("the site's configuration should be valid");
     (site, results)
 }
 
@@ -38,42 +41,44 @@
 }
 
 #[test]
-fn an_auction_closes() {
+fn the_auction_trace_reaches_its_outcomes() {
     assert_reached("auction", Scenario::None);
 }
 
 #[test]
-fn every_kitchen_at_seven() {
+fn the_kitchen_trace_reaches_its_outcomes() {
     assert_reached("kitchen", Scenario::None);
 }
 
-/// Bidders and kitchens notice nothing although one engine is four times slower than the others
-/// and another breaks all its streams in the burst: streams go on elsewhere from their offsets.
+/// In the burst one engine becomes four times as slow as the others and another one breaks all its
+/// streams. The streams must resume at other engines from their offsets.
 #[test]
-fn a_straggler_and_a_crash_in_the_burst() {
+fn outcomes_are_reached_with_a_straggler_and_a_crash() {
     assert_reached("auction", Scenario::StragglerAndCrash);
     assert_reached("kitchen", Scenario::StragglerAndCrash);
 }
 
-/// Every connection to one engine goes silent while new ones work. Requests on them would wait
-/// for ever; their attempts are given up after a silence and go on elsewhere.
+/// All connections to one engine go silent while new ones work. Requests on them would wait
+/// forever, unless their attempts are abandoned after a time and continue at other engines.
 #[test]
-fn connections_to_an_engine_fall_silent() {
+fn outcomes_are_reached_with_silent_connections_to_an_engine() {
     assert_reached("auction", Scenario::Silence);
     assert_reached("kitchen", Scenario::Silence);
 }
 
-/// A router is gone without a word. Its callers see their connections break and try another
-/// address; bids that it may have run end as outcome_unknown, and none runs twice.
+/// A router disappears without notice. Its callers see their connections break and submit their
+/// requests to another one. Requests that the lost router may have run must end as outcome_unknown
+/// and must not run twice.
 #[test]
-fn a_router_is_lost() {
+fn outcomes_are_reached_when_a_router_is_lost() {
     assert_reached("auction", Scenario::LoseRouter);
     assert_reached("kitchen", Scenario::LoseRouter);
 }
 
-/// An engine and a router stop by plan in the burst, and no caller sees an answer cut off.
+/// An engine or a router makes a planned stop in the burst. No caller may get a broken connection
+/// or an unknown outcome.
 #[test]
-fn planned_stops_cut_nothing_off() {
+fn planned_stops_break_no_answers() {
     for scenario in [Scenario::StopEngine, Scenario::StopRouter] {
         // Act
         let (site, results) = replay("auction", Policy::Core, scenario);
@@ -88,18 +93,18 @@
     }
 }
 
-/// Load reports repeat themselves for ten seconds, and the key-value service is out for a minute:
-/// neither shows in any promise.
+/// Load reports are out of date for ten seconds, or the key-value service is unavailable for a
+/// minute.
 #[test]
-fn frozen_reports_and_an_outage() {
+fn outcomes_are_reached_with_frozen_reports_and_in_an_outage() {
     assert_reached("kitchen", Scenario::FrozenReports);
     assert_reached("kitchen", Scenario::Outage);
 }
 
-/// Neither baseline protects the protected classes; both keep engines busy. Goodput may be a
-/// little lower than theirs in exchange: docs/design/replay.md has the figures and the cause.
+/// Neither baseline protects the protected classes, but both keep the engines busy. The core may
+/// have slightly less goodput in exchange; docs/design/replay.md has the figures and the cause.
 #[test]
-fn protected_classes_do_better_than_under_both_baselines() {
+fn protected_classes_attain_at_least_as_much_as_under_the_baselines() {
     const GOODPUT: f64 = 0.97;
     for name in ["auction", "kitchen"] {
         // Arrange
@@ -121,9 +126,9 @@
     }
 }
 
-/// The same seed and events give the same figures.
+/// Two replays with the same trace, faults and seed give the same results.
 #[test]
-fn a_replay_repeats_itself() {
+fn replays_are_deterministic() {
     let (_, first) = replay("auction", Policy::Core, Scenario::Crash);
     let (_, second) = replay("auction", Policy::Core, Scenario::Crash);
     assert_eq!(format!("{first:?}"), format!("{second:?}"));
--- a/replay/tests/versions.rs
+++ b/replay/tests/versions.rs
@@ -1,4 +1,5 @@
-//! Configuration over nine routers: in force everywhere within seconds, never an older one.
+//! A new configuration is in force at nine routers within seconds, and none returns to an older
+//! one.
 
 mod support;
 
@@ -7,21 +8,22 @@
 
 use support::Cluster;
 
-const WITHIN: Span = Span::secs(8);
+/// Upper bound on the time until a version is in force at all routers.
+const TIMEOUT: Span = Span::secs(8);
 
 fn in_force(cluster: &Cluster, version: u64) -> bool {
     (0..cluster.network.len()).all(|i| cluster.version(i) >= version)
 }
 
-/// Changes of a configuration with 2,000 organisations: how long until each is in force at all
-/// nine routers, and what it costs the key-value service and the routers.
+/// A configuration with 2,000 organisations changes 40 times. Each change must be in force at all
+/// nine routers within 8 s. Prints the longest time, and the reads and bytes for each change.
 #[test]
 fn a_change_is_in_force_everywhere_within_8_s() {
     // Arrange
     let mut cluster = Cluster::start(9, 1);
     let mut config = support::config(2_000);
     cluster.network.store.publish(2, &config);
-    cluster.advance(WITHIN);
+    cluster.advance(TIMEOUT);
     let mut longest = Span(0);
     let (bytes, reads) = (cluster.network.traffic.0, cluster.network.store.reads);
     let began = cluster.network.now;
@@ -30,8 +32,8 @@
     for version in 3..=42 {
         config.organisations[version as usize].weight = version as u32;
         cluster.network.store.publish(version, &config);
-        let took = cluster.advance_until(WITHIN, |c| in_force(c, version));
-        longest = longest.max(took.expect("in force within 8 s"));
+        let took = cluster.advance_until(TIMEOUT, |c| in_force(c, version));
+        longest = longest.max(took.expect("the change should be in force within 8 s"));
     }
 
     // Assert
@@ -43,37 +45,37 @@
          and change, gossip included",
         (reads - 3.5 * seconds) / 40.0
     );
-    assert!(longest <= WITHIN);
+    assert!(longest <= TIMEOUT);
 }
 
-/// The key-value service goes down right after one router has read a change. The others get it
-/// from that router.
+/// The key-value service becomes unavailable after one router has read a change. The others must
+/// get it from that router.
 #[test]
-fn an_outage_does_not_stop_a_change_under_way() {
+fn an_outage_does_not_stop_a_change_that_one_router_has() {
     // Arrange
     let mut cluster = Cluster::start(9, 2);
     cluster.network.store.publish(2, &support::config(3));
-    let first = cluster.advance_until(WITHIN, |c| (0..9).any(|i| c.version(i) == 2));
+    let first = cluster.advance_until(TIMEOUT, |c| (0..9).any(|i| c.version(i) == 2));
 
     // Act
     cluster.network.store.mode = Mode::Down;
-    let rest = cluster.advance_until(WITHIN, |c| in_force(c, 2));
+    let rest = cluster.advance_until(TIMEOUT, |c| in_force(c, 2));
 
     // Assert
     assert!(first.is_some() && rest.is_some());
 }
 
-/// A router restarts while the service is out and another router, cut off, still has the version
-/// before. The restarted one takes callers only with the newest version that its peers tell of.
+/// A router restarts while the service is unavailable and a partitioned router still has an older
+/// version. The restarted router must not serve with the older version.
 #[test]
-fn a_restart_in_an_outage_brings_no_old_version_back() {
+fn a_restart_in_an_outage_does_not_restore_an_old_version() {
     // Arrange
     let mut cluster = Cluster::start(9, 3);
     cluster.network.partition(&[8]);
     cluster.network.store.publish(2, &support::config(3));
     // Router 8 must not read the change itself.
     cluster.network.pause(8);
-    cluster.advance(WITHIN);
+    cluster.advance(TIMEOUT);
     cluster.network.store.mode = Mode::Down;
     cluster.network.resume(8);
     cluster.network.kill(0);
@@ -88,20 +90,20 @@
     let mut served_old = false;
     for _ in 0..200 {
         cluster.advance(Span::millis(100));
-        let node = cluster.network.node(0).expect("it runs");
+        let node = cluster.network.node(0).expect("the router should be running");
         served_old |= node.is_serving() && node.config_version() < 2;
     }
 
     // Assert
     assert!(!served_old);
     assert_eq!(cluster.version(0), 2);
-    assert!(cluster.network.node(0).expect("it runs").is_serving());
+    assert!(cluster.network.node(0).expect("the router should be running").is_serving());
 }
 
-/// Regions part while changes go on; the side that can't reach the service stays behind, catches
-/// up when the link is back, and no router ever goes back.
+/// Changes are published during a partition and with lost messages. No router may return to an
+/// older version, and after the partition all must get the newest one.
 #[test]
-fn a_partition_heals_upwards() {
+fn versions_never_decrease_under_a_partition() {
     // Arrange
     let mut cluster = Cluster::start(9, 4);
     let mut highest = [0; 9];
