--- a/core/src/idempotency.rs
+++ b/core/src/idempotency.rs
@@ -53,8 +53,8 @@
         let (name, incarnation) = home.rsplit_once('.')?;
         u64::from_str_radix(incarnation, 16).ok()?;
         let epoch = u32::from_str_radix(epoch, 16).ok()?;
-        let fits = !name.is_empty() && !suffix.is_empty() && suffix.len() <= MAX_SUFFIX_BYTES;
-        fits.then(|| Key { home: home.to_owned(), epoch, suffix: suffix.to_owned() })
+        let is_valid = !name.is_empty() && !suffix.is_empty() && suffix.len() <= MAX_SUFFIX_BYTES;
+        is_valid.then(|| Key { home: home.to_owned(), epoch, suffix: suffix.to_owned() })
     }
 }
 
@@ -72,6 +72,7 @@
     },
 }
 
+/// State of the request with a key.
 #[derive(Clone, Debug)]
 enum Entry {
     Running { digest: [u8; 32], waiters: Vec<Waiter> },
@@ -90,7 +91,7 @@
 /// One part of the finished keys of a home, sent to its successor.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Handover {
-    /// The home.
+    /// Name and incarnation of the router that issued the keys.
     pub home: String,
     /// Last epoch of the home.
     pub epoch: u32,
@@ -104,6 +105,7 @@
     pub keys: Vec<Finished>,
 }
 
+/// Keys of one home.
 #[derive(Debug)]
 struct Home {
     /// Current epoch.
@@ -115,6 +117,7 @@
     keys: BTreeMap<(u32, String), Entry>,
 }
 
+/// Parts received so far of a home that is being handed over.
 #[derive(Debug)]
 struct Incoming {
     parts: BTreeMap<u32, Vec<Finished>>,
@@ -140,11 +143,13 @@
     own: String,
     homes: BTreeMap<String, Home>,
     incoming: BTreeMap<String, Incoming>,
+    /// Bytes of all stored answers.
     bytes: usize,
+    /// Whether new keys are refused because of a handover.
     frozen: bool,
 }
 
-/// Size of an outcome against [`MAX_ANSWER_BYTES`].
+/// Bytes of an outcome that count towards [`MAX_ANSWER_BYTES`].
 fn answer_bytes(outcome: &Outcome) -> usize {
     match outcome {
         Outcome::Whole { text, .. } => text.len(),
--- a/core/src/limit.rs
+++ b/core/src/limit.rs
@@ -1,10 +1,10 @@
 //! Enforces limits of organisations in requests and tokens a second, summed over all routers.
 //!
-//! Each router has a token bucket that it refills at its share of the limit. The share is in
-//! proportion to the demand of the routers that report it, and equal for a router that does not.
-//! The shares of all routers that reach each other add up to at most the limit. The overshoot is
-//! therefore at most one bucket depth for each router; in a partition, each side may use the whole
-//! limit. docs/design/limits.md states and measures the bound.
+//! Each router has token buckets for each organisation and refills them at its share of the limit.
+//! Routers that report their usage have shares in proportion to it; a router that does not report
+//! has an equal share. The shares of all routers that reach each other add up to at most the limit,
+//! so the overshoot is at most one bucket depth for each router; in a partition, each side may use
+//! the whole limit. docs/design/limits.md states and measures the bound.
 
 use std::collections::BTreeMap;
 
@@ -30,6 +30,7 @@
 /// Token bucket of one limit with the measured rate of its demand.
 #[derive(Clone, Copy, Debug, Default)]
 struct Bucket {
+    /// Requests or tokens available now; negative after a request larger than the bucket.
     level: f64,
     /// Demand since the last measurement.
     used: f64,
@@ -38,11 +39,13 @@
 }
 
 impl Bucket {
+    /// Adds `elapsed` seconds of refill at `rate`, up to the depth of the bucket.
     fn refill(&mut self, rate: f64, elapsed: f64) {
         let depth = (rate * BUCKET_DEPTH_SECS).max(1.0);
         self.level = (self.level + rate * elapsed).min(depth);
     }
 
+    /// Updates the rate by the demand of the last `elapsed` seconds.
     fn measure(&mut self, elapsed: f64) {
         let now = self.used / elapsed;
         self.rate += (now - self.rate) * RATE_SMOOTHING;
@@ -50,6 +53,7 @@
     }
 }
 
+/// Buckets of one organisation, and the usage that peers report for it.
 #[derive(Debug, Default)]
 struct Account {
     refilled: Time,
--- a/core/src/member.rs
+++ b/core/src/member.rs
@@ -104,6 +104,7 @@
     last_tick: Time,
     last_dead_probe: Time,
     last_repair: Time,
+    /// Number of times that this router's own record is still to be piggybacked.
     own_piggybacks: u32,
     config_version: u64,
     changes: u64,
