--- a/core/src/node/mod.rs
+++ b/core/src/node/mod.rs
@@ -51,7 +51,7 @@
 use crate::share::SmoothedDemand;
 use crate::share::TierDemand;
 use crate::stats::Stats;
-use crate::sync::Sync;
+use crate::sync::Versions;
 use crate::time::Span;
 use crate::time::Time;
 use crate::upstream::Pool;
@@ -142,7 +142,7 @@
     table: Table,
     forwards: BTreeMap<RequestId, Forward>,
     orders: BTreeMap<GroupKey, orders::Orders>,
-    sync: Sync,
+    sync: Versions,
     control: control::Schedule,
     stopping: stop::Phase,
     stats: Stats,
@@ -186,7 +186,7 @@
             lowest_protected_tier: None,
             forwards: BTreeMap::new(),
             orders: BTreeMap::new(),
-            sync: Sync::default(),
+            sync: Versions::default(),
             control: control::Schedule::new(now),
             stopping: stop::Phase::Running,
             stats: Stats::default(),
--- a/core/src/sync.rs
+++ b/core/src/sync.rs
@@ -23,9 +23,9 @@
 /// Key of the platform's list of leaving hosts: a JSON array of upstream names.
 pub const LEAVING_HOSTS_KEY: &str = "platform/hosts/leaving";
 
-/// The configuration of one router.
+/// The configuration version in force, the pending one, and their shards.
 #[derive(Debug, Default)]
-pub struct Sync {
+pub struct Versions {
     root: Root,
     previous: Root,
     pending: Option<Root>,
@@ -43,7 +43,7 @@
     Reject(u64, shard::Error),
 }
 
-impl Sync {
+impl Versions {
     /// The root in force; version 0 before the first one.
     pub fn root(&self) -> &Root {
         &self.root
