--- a/ctl/src/client.rs
+++ b/ctl/src/client.rs
@@ -1,4 +1,4 @@
-//! A small HTTP client for routers.
+//! HTTP client for routers.
 
 use std::time::Duration;
 
@@ -13,15 +13,16 @@
 
 use crate::error::Error;
 
+/// Upper bound on the time of a call until its whole answer has arrived.
 const TIMEOUT: Duration = Duration::from_secs(60);
 
-/// An answer: status and body.
+/// Status and body of an answer.
 pub struct Answer {
     pub status: u16,
     pub body: Bytes,
 }
 
-/// A client with a bearer token.
+/// Client that authorizes its calls with a bearer token.
 #[derive(Clone)]
 pub struct Client {
     http: legacy::Client<HttpConnector, Full<Bytes>>,
@@ -34,7 +35,7 @@
         Client { http, token: token.to_owned() }
     }
 
-    /// Makes a call with extra headers.
+    /// Calls a URL with additional headers.
     pub async fn call(
         &self,
         method: Method,
@@ -58,7 +59,7 @@
         tokio::time::timeout(TIMEOUT, call).await.map_err(|e| failed(&e))?
     }
 
-    /// Reads JSON; an answer that is no success is an error.
+    /// Calls a URL and parses its answer as JSON. A status of 300 or more is an error.
     pub async fn json(&self, method: Method, url: &str) -> Result<serde_json::Value, Error> {
         let answer = self.call(method, url, &[], Bytes::new()).await?;
         if answer.status >= 300 {
--- a/ctl/src/cmd/check.rs
+++ b/ctl/src/cmd/check.rs
@@ -1,10 +1,10 @@
-//! `laburnumctl check`
+//! Checks configuration files.
 
 use crate::error::Error;
 use crate::util::Args;
 
 const USAGE: &str = "\
-Check configuration files: every finding with its file, line and column.
+Check configuration files and print all errors with their files, lines and columns.
 
 Usage:
     laburnumctl check BASE [OVERLAY...]
--- a/ctl/src/cmd/demo.rs
+++ b/ctl/src/cmd/demo.rs
@@ -1,4 +1,4 @@
-//! `laburnumctl demo`
+//! Runs a small site in one process and prints what its callers got.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -30,25 +30,30 @@
 use crate::util::Args;
 
 const USAGE: &str = "\
-Run the main job in one process, on loopback: a stand-in key-value service, three engines, two
-replicas of a plain service, three routers, and a few seconds of callers. Ends with a table.
+Run a site in one process, on loopback: a stand-in key-value service, three engines, two replicas
+of a plain service, three routers, and callers for a few seconds. Prints a table at the end.
 
 Usage:
     laburnumctl demo [options]
 
 Options:
-    --seconds N    length of the traffic [default: 5, at most 60]
-    --rate N       requests a second [default: 60, at most 500]
+    --seconds N    duration of the traffic [default: 5, at most 60]
+    --rate N       requests per second [default: 60, at most 500]
 ";
 
 const BASE: &str = include_str!("demo.toml");
 const DOMAINS: [&str; 3] = ["mixco", "villa", "antigua"];
 const ORGS: [&str; 3] = ["museo", "galeria", "coleccion"];
-const OPERATOR: &str = "demo-operator";
+const OPERATOR_TOKEN: &str = "demo-operator";
+/// Duration of an engine's step.
 const STEP: Duration = Duration::from_millis(6);
+/// Number of requests that an engine runs at a time.
 const SLOTS: u32 = 8;
+/// Duration of a call at the plain service.
 const WORK: Duration = Duration::from_millis(8);
-const READY: Duration = Duration::from_secs(10);
+/// Upper bound on the time until all routers serve and know each other.
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
+/// Seed of the callers' random choices.
 const SEED: u64 = 7;
 
 pub fn run(args: Args) -> Result<(), Error> {
@@ -68,7 +73,7 @@
     })
 }
 
-/// Everything the demo runs.
+/// Running site. The servers in the unused fields stop when they are dropped.
 struct Site {
     _kv: KeyValue,
     _engines: Vec<Engine>,
@@ -77,16 +82,19 @@
     routers: Vec<Router>,
 }
 
-/// What callers of one class saw.
+/// Tally of the calls of one class.
 #[derive(Clone, Debug, Default)]
 struct Tally {
     sent: u64,
     whole: u64,
+    /// Complete answers with a wrong text.
     wrong: u64,
     not_run: u64,
+    /// Other errors.
     other: u64,
 }
 
+/// Call of a caller.
 #[derive(Clone, Copy)]
 enum Call {
     Model { class: &'static str, tokens: u32 },
@@ -141,18 +149,18 @@
                 .set("admin-listen", "127.0.0.1:0")
                 .set("key-value", key_value.address)
                 .set("peer-secret", "demo-secret")
-                .set("operator-token", OPERATOR)
+                .set("operator-token", OPERATOR_TOKEN)
                 .build()?;
             routers.push(Router::start(settings).await?);
         }
         let site =
             Site { _kv: key_value, _engines: engines, _services: services, counter, routers };
-        site.ready().await?;
+        site.wait_until_ready().await?;
         Ok(site)
     }
 
-    /// Waits until every router serves and sees the others.
-    async fn ready(&self) -> Result<(), Error> {
+    /// Waits until every router serves and knows the others.
+    async fn wait_until_ready(&self) -> Result<(), Error> {
         let began = Instant::now();
         loop {
             let mut serving = 0;
@@ -164,13 +172,16 @@
             if serving == self.routers.len() {
                 return Ok(());
             }
-            if began.elapsed() > READY {
-                return Err(Error::Failed("the routers did not find each other".to_owned()));
+            if began.elapsed() > READY_TIMEOUT {
+                return Err(Error::Failed(
+                    "the routers did not discover each other in time".to_owned(),
+                ));
             }
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
 
+    /// Makes random calls at a rate for some seconds, and tallies them by class.
     async fn traffic(
         &self,
         seconds: u64,
@@ -189,7 +200,7 @@
             };
             let client = Client::new(&format!("key-of-{org}"));
             tasks.push(tokio::spawn(async move {
-                (call.class(), make(&client, &first.to_string(), domain, call).await)
+                (call.class(), perform(&client, &first.to_string(), domain, call).await)
             }));
             tokio::time::sleep(Duration::from_micros(1_000_000 / rate)).await;
         }
@@ -208,10 +219,11 @@
         Ok(tallies)
     }
 
+    /// Prints the tallies, with counters of the routers, and the number of repeated executions.
     async fn report(&self, tallies: &BTreeMap<&str, Tally>, doubled: usize) -> Result<(), Error> {
-        let head =
+        let header =
             ["class", "sent", "whole", "within target", "not_run", "other", "wrong", "tokens"];
-        let mut rows = vec![head.map(str::to_owned).to_vec()];
+        let mut rows = vec![header.map(str::to_owned).to_vec()];
         let (mut goodput, mut wasted) = (0, 0);
         for (class, tally) in tallies {
             let (mut attained, mut tokens) = (0, 0);
@@ -245,8 +257,8 @@
     }
 
     async fn stop(self) -> Result<(), Error> {
-        // The stand-ins and routers end with the process; a planned stop would wait for the entry
-        // answers' time to live.
+        // Routers and stand-ins end with the process. A planned stop would last for the time to
+        // live of entry answers.
         Ok(())
     }
 }
@@ -266,6 +278,7 @@
     )
 }
 
+/// End of a call.
 enum End {
     Whole,
     Wrong,
@@ -273,8 +286,8 @@
     Other,
 }
 
-/// Asks for an entry, then makes the call there, as a caller would.
-async fn make(client: &Client, router: &str, domain: &str, call: Call) -> End {
+/// Queries a router for an entry answer, and makes a call at the first router in it.
+async fn perform(client: &Client, router: &str, domain: &str, call: Call) -> End {
     let url = format!("http://{router}/v1/entry?failure_domain={domain}");
     let Ok(entry) = client.json(Method::GET, &url).await else {
         return End::Other;
@@ -303,7 +316,7 @@
     }
     let body = Bytes::from(body.to_string());
     match client.call(Method::POST, &url, &headers, body).await {
-        Ok(answer) if answer.status == 200 => check(call, &answer.body),
+        Ok(answer) if answer.status == 200 => verify(call, &answer.body),
         Ok(answer) => {
             let error: Value = serde_json::from_slice(&answer.body).unwrap_or_default();
             if error["error"]["type"] == "not_run" { End::NotRun } else { End::Other }
@@ -312,8 +325,9 @@
     }
 }
 
-/// Whether an answer is whole and the caller's own: the engine stand-in counts its tokens.
-fn check(call: Call, body: &Bytes) -> End {
+/// Checks that an answer is complete and belongs to the call: stand-in engines answer with the
+/// indices of the tokens.
+fn verify(call: Call, body: &Bytes) -> End {
     let Call::Model { tokens, .. } = call else {
         return End::Whole;
     };
@@ -325,7 +339,7 @@
     let values = chunks.filter_map(|c| serde_json::from_str::<Value>(c).ok());
     let parts =
         values.filter_map(|v| v["choices"][0]["delta"]["content"].as_str().map(str::to_owned));
-    let got: String = parts.collect();
-    let want: String = (0..tokens).map(|n| format!("{n} ")).collect();
-    if got == want { End::Whole } else { End::Wrong }
+    let actual: String = parts.collect();
+    let expected: String = (0..tokens).map(|n| format!("{n} ")).collect();
+    if actual == expected { End::Whole } else { End::Wrong }
 }
--- a/ctl/src/cmd/drain.rs
+++ b/ctl/src/cmd/drain.rs
@@ -1,4 +1,4 @@
-//! `laburnumctl drain`
+//! Begins a planned stop of a router.
 
 use hyper::Method;
 
@@ -8,14 +8,14 @@
 use crate::util::Args;
 
 const USAGE: &str = "\
-Begin a planned stop of a router: it leaves, serves on while callers may keep its address, hands
-its keys over, finishes what runs, and exits.
+Begin a planned stop of a router. It announces that it is leaving, serves while callers may keep
+its address, hands its idempotency keys over, finishes its running requests and exits.
 
 Usage:
     laburnumctl drain --router IP:PORT [options]
 
 Options:
-    --router IP:PORT         operators' address of the router [LABURNUMWHEEL_ROUTER]
+    --router IP:PORT         admin address of the router [LABURNUMWHEEL_ROUTER]
     --operator-token TEXT    operator token [LABURNUMWHEEL_OPERATOR_TOKEN]
 ";
 
@@ -24,8 +24,8 @@
         return Ok(());
     };
     util::block_on(async {
-        let client = Client::new(&args.need("operator-token")?);
-        let router = args.need("router")?;
+        let client = Client::new(&args.required("operator-token")?);
+        let router = args.required("router")?;
         client.json(Method::POST, &format!("http://{router}/admin/drain")).await?;
         println!("{router} is leaving");
         Ok(())
--- a/ctl/src/cmd/entry.rs
+++ b/ctl/src/cmd/entry.rs
@@ -1,4 +1,4 @@
-//! `laburnumctl entry`
+//! Queries a router for an entry answer.
 
 use hyper::Method;
 
@@ -8,13 +8,13 @@
 use crate::util::Args;
 
 const USAGE: &str = "\
-Ask a router which routers a caller should use, in order.
+Query a router for the routers that a caller should use, in order of preference.
 
 Usage:
     laburnumctl entry --router IP:PORT [options]
 
 Options:
-    --router IP:PORT        callers' address of any router [LABURNUMWHEEL_ROUTER]
+    --router IP:PORT        caller address of any router [LABURNUMWHEEL_ROUTER]
     --failure-domain NAME   the caller's failure domain
     --json                  print JSON
 ";
@@ -27,7 +27,7 @@
         let client = Client::new("");
         let domain = args.get("failure-domain");
         let query = domain.map(|d| format!("?failure_domain={d}")).unwrap_or_default();
-        let url = format!("http://{}/v1/entry{query}", args.need("router")?);
+        let url = format!("http://{}/v1/entry{query}", args.required("router")?);
         let answer = client.json(Method::GET, &url).await?;
         if args.has("json") {
             println!("{answer:#}");
--- a/ctl/src/cmd/explain.rs
+++ b/ctl/src/cmd/explain.rs
@@ -1,4 +1,4 @@
-//! `laburnumctl explain`
+//! Explains the outcome of a request from the logs of gateways.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -7,18 +7,21 @@
 use crate::util::Args;
 
 const USAGE: &str = "\
-Tell what happened to one request, from the logs of gateways.
+Explain the outcome of a request from the logs of gateways.
 
 Usage:
     laburnumctl explain REQUEST-ID FILE...
 
-Lines of the request are printed in order, each with its file and line, and its cause at the end.
-Clocks of hosts differ: the order holds within one host's lines.
+Prints the log lines of the request in the order of their times, each with its file and line number,
+and the cause of the outcome. Clocks of hosts differ, so that the order is exact only for lines of
+the same host.
 ";
 
-/// A log line with its place.
+/// Log line of the request.
 struct Entry<'a> {
-    place: String,
+    /// File and line number.
+    location: String,
+    /// Time in microseconds.
     time: u64,
     fields: BTreeMap<&'a str, &'a str>,
     text: &'a str,
@@ -45,7 +48,7 @@
     }
     entries.sort_by_key(|e| e.time);
     for entry in &entries {
-        println!("{}: {}", entry.place, entry.text);
+        println!("{}: {}", entry.location, entry.text);
     }
     let last = entries.iter().rev().find(|e| e.fields.get("event") == Some(&"call"));
     match (last, entries.is_empty()) {
@@ -56,32 +59,32 @@
     Ok(())
 }
 
-/// Lines of a text that belong to a request.
+/// Returns the lines of a text that belong to a request.
 fn find<'a>(id: &str, file: &str, text: &'a str) -> Result<Vec<Entry<'a>>, Error> {
     let mut found = Vec::new();
     for (at, line) in text.lines().enumerate() {
         if !line.contains(id) {
             continue;
         }
-        // Whatever gathered the lines may have put its own words in front.
-        let Some(begin) = line.find("time_us=") else {
-            return Err(Error::Failed(format!("{file}:{}: no time_us", at + 1)));
+        // Log collectors may have added a prefix to the line.
+        let Some(start) = line.find("time_us=") else {
+            return Err(Error::Failed(format!("{file}:{}: field time_us is missing", at + 1)));
         };
-        let line = &line[begin..];
+        let line = &line[start..];
         let fields: BTreeMap<&str, &str> =
             line.split_whitespace().filter_map(|f| f.split_once('=')).collect();
         if fields.get("request") != Some(&id) {
             continue;
         }
         let time = fields.get("time_us").and_then(|t| t.parse().ok());
-        let time =
-            time.ok_or_else(|| Error::Failed(format!("{file}:{}: time_us is no number", at + 1)))?;
-        found.push(Entry { place: format!("{file}:{}", at + 1), time, fields, text: line });
+        let time = time
+            .ok_or_else(|| Error::Failed(format!("{file}:{}: time_us is not a number", at + 1)))?;
+        found.push(Entry { location: format!("{file}:{}", at + 1), time, fields, text: line });
     }
     Ok(found)
 }
 
-/// The cause in one sentence.
+/// Describes the cause of the outcome of the request whose last line is `end`.
 fn cause(end: &Entry<'_>, entries: &[Entry<'_>]) -> String {
     let get = |name: &str| end.fields.get(name).copied().unwrap_or("?");
     let fault = entries.iter().rev().find_map(|e| e.fields.get("fault").copied());
--- a/ctl/src/cmd/history.rs
+++ b/ctl/src/cmd/history.rs
@@ -1,4 +1,4 @@
-//! `laburnumctl history`
+//! Lists published versions of the configuration.
 
 use laburnumwheel_router::publish;
 
@@ -7,14 +7,14 @@
 use crate::util::Args;
 
 const USAGE: &str = "\
-List accepted versions, the newest first.
+List accepted versions and their changes, the newest first.
 
 Usage:
     laburnumctl history [options]
 
 Options:
-    --key-value IP:PORT    the key-value service [LABURNUMWHEEL_KEY_VALUE]
-    --last N               so many versions [default: 10]
+    --key-value IP:PORT    address of the key-value service [LABURNUMWHEEL_KEY_VALUE]
+    --last N               number of versions [default: 10]
 ";
 
 pub fn run(args: Args) -> Result<(), Error> {
--- a/ctl/src/cmd/members.rs
+++ b/ctl/src/cmd/members.rs
@@ -1,4 +1,4 @@
-//! `laburnumctl members`
+//! Lists the routers that a router knows.
 
 use hyper::Method;
 
@@ -8,13 +8,13 @@
 use crate::util::Args;
 
 const USAGE: &str = "\
-Routers as one router sees them.
+List the routers that a router knows, with their states as it sees them.
 
 Usage:
     laburnumctl members --router IP:PORT [options]
 
 Options:
-    --router IP:PORT         operators' address of a router [LABURNUMWHEEL_ROUTER]
+    --router IP:PORT         admin address of a router [LABURNUMWHEEL_ROUTER]
     --operator-token TEXT    operator token [LABURNUMWHEEL_OPERATOR_TOKEN]
     --json                   print JSON
 ";
@@ -24,8 +24,8 @@
         return Ok(());
     };
     util::block_on(async {
-        let client = Client::new(&args.need("operator-token")?);
-        let router = args.need("router")?;
+        let client = Client::new(&args.required("operator-token")?);
+        let router = args.required("router")?;
         let members = client.json(Method::GET, &format!("http://{router}/admin/members")).await?;
         if args.has("json") {
             println!("{members:#}");
--- a/ctl/src/cmd/mod.rs
+++ b/ctl/src/cmd/mod.rs
@@ -1,4 +1,4 @@
-//! One file per command.
+//! Commands, with a module for each.
 
 pub mod apply;
 pub mod check;
--- a/ctl/src/cmd/relay.rs
+++ b/ctl/src/cmd/relay.rs
@@ -1,4 +1,4 @@
-//! `laburnumctl relay`
+//! Measures the overhead of a router on a stream.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -25,22 +25,27 @@
 use crate::util::Args;
 
 const USAGE: &str = "\
-Measure what a router adds to a stream: processor time a chunk, and the delay of an answer of one
-token against a direct call, both in one run on loopback.
+Measure the overhead of a router on a stream: the processor time for each chunk, and the latency of
+an answer of one token relative to a direct call. Runs in one process on loopback.
 
 Usage:
     laburnumctl relay
 ";
 
 const KEY: &str = "relay-key";
+/// Number of concurrent long streams.
 const STREAMS: usize = 64;
+/// Tokens of a long stream.
 const TOKENS: u32 = 1_500;
-/// A caller that falls a thousand chunks behind is given up, so the engine may not run free.
-const PACE: Duration = Duration::from_millis(2);
-const SHORT: usize = 300;
+/// Duration of a step of the engine with long streams. Without steps the engine would be faster
+/// than callers, and the router disconnects a caller that is a thousand chunks behind.
+const FAST_STEP: Duration = Duration::from_millis(2);
+/// Number of answers of one token.
+const SHORT_ANSWERS: usize = 300;
+/// Duration of a step of the engine with short answers.
 const STEP: Duration = Duration::from_millis(6);
-/// Clock ticks a second in /proc; fixed by the kernel's interface.
-const TICKS: f64 = 100.0;
+/// Clock ticks per second in `/proc`, as defined by the kernel's interface.
+const TICKS_PER_SECOND: f64 = 100.0;
 
 pub fn run(args: Args) -> Result<(), Error> {
     if args.read(USAGE, &[], &[])?.is_none() {
@@ -48,20 +53,20 @@
     }
     log::init(Level::Error)?;
     util::block_on(async {
-        let fast = Engine::start(0, 256, PACE).await?;
+        let fast = Engine::start(0, 256, FAST_STEP).await?;
         let stepped = Engine::start(0, 256, STEP).await?;
         let (router, _kv) = start(&fast, &stepped).await?;
-        let direct = stream(fast.address, "fast").await?;
-        let relayed = stream(router.callers, "fast").await?;
+        let direct = measure_streams(fast.address, "fast").await?;
+        let relayed = measure_streams(router.callers, "fast").await?;
         let chunks = STREAMS as f64 * f64::from(TOKENS);
         let each = (relayed - direct) / chunks;
         println!("{chunks} chunks: {:.2} us of processor a chunk direct", direct / chunks * 1e6);
         println!("through a router: {:.2} us more, {:.0} chunks/s a core", each * 1e6, 1.0 / each);
-        let direct = short(stepped.address, "stepped").await?;
-        let relayed = short(router.callers, "stepped").await?;
+        let direct = measure_short_answers(stepped.address, "stepped").await?;
+        let relayed = measure_short_answers(router.callers, "stepped").await?;
         println!(
-            "answer of one token, median of {SHORT}: {:.2} ms direct, {:.2} ms through a router, \
-             ratio {:.2}",
+            "answer of one token, median of {SHORT_ANSWERS}: {:.2} ms direct, {:.2} ms through a \
+             router, ratio {:.2}",
             direct * 1e3,
             relayed * 1e3,
             relayed / direct
@@ -70,6 +75,7 @@
     })
 }
 
+/// Starts a router in front of both engines.
 async fn start(fast: &Engine, stepped: &Engine) -> Result<(Router, KeyValue), Error> {
     let mut text = "[[class]]\nname = \"c\"\ntier = 0\nfirst_token_ms = 500\n".to_owned();
     for (name, engine) in [("fast", fast), ("stepped", stepped)] {
@@ -106,12 +112,12 @@
     Ok((router, key_value))
 }
 
-/// Processor time of this process, in seconds.
-fn processor() -> f64 {
+/// Returns the processor time of this process in seconds; 0 if it can't be read.
+fn processor_time() -> f64 {
     let stat = fs::read_to_string("/proc/self/stat").unwrap_or_default();
-    let behind_name = stat.rsplit(')').next().unwrap_or("");
-    let fields = behind_name.split_whitespace().skip(11).take(2);
-    fields.filter_map(|f| f.parse::<f64>().ok()).sum::<f64>() / TICKS
+    let after_name = stat.rsplit(')').next().unwrap_or("");
+    let fields = after_name.split_whitespace().skip(11).take(2);
+    fields.filter_map(|f| f.parse::<f64>().ok()).sum::<f64>() / TICKS_PER_SECOND
 }
 
 async fn call(client: &Client, to: SocketAddr, model: &str, tokens: u32) -> Result<(), Error> {
@@ -123,13 +129,13 @@
     if answer.body.ends_with(b"data: [DONE]\n\n") {
         return Ok(());
     }
-    Err(Error::Failed(format!("a stream from {to} is not whole")))
+    Err(Error::Failed(format!("a stream from {to} is incomplete")))
 }
 
-/// Processor time of many long streams at once.
-async fn stream(to: SocketAddr, model: &'static str) -> Result<f64, Error> {
+/// Returns the processor time of concurrent long streams, in seconds.
+async fn measure_streams(to: SocketAddr, model: &'static str) -> Result<f64, Error> {
     let client = Client::new(KEY);
-    let before = processor();
+    let before = processor_time();
     let mut tasks = Vec::new();
     for _ in 0..STREAMS {
         let client = client.clone();
@@ -138,18 +144,18 @@
     for task in tasks {
         task.await.map_err(|e| Error::Failed(e.to_string()))??;
     }
-    Ok(processor() - before)
+    Ok(processor_time() - before)
 }
 
-/// Median time of an answer of one token, in seconds.
-async fn short(to: SocketAddr, model: &str) -> Result<f64, Error> {
+/// Returns the median time of an answer of one token, in seconds.
+async fn measure_short_answers(to: SocketAddr, model: &str) -> Result<f64, Error> {
     let client = Client::new(KEY);
     let mut times = Vec::new();
-    for _ in 0..SHORT {
+    for _ in 0..SHORT_ANSWERS {
         let began = Instant::now();
         call(&client, to, model, 1).await?;
         times.push(began.elapsed().as_secs_f64());
     }
     times.sort_by(f64::total_cmp);
-    Ok(times[SHORT / 2])
+    Ok(times[SHORT_ANSWERS / 2])
 }
--- a/ctl/src/cmd/replay.rs
+++ b/ctl/src/cmd/replay.rs
@@ -1,4 +1,4 @@
-//! `laburnumctl replay`
+//! Replays a trace in virtual time.
 
 use laburnumwheel_replay::baseline::Kind;
 use laburnumwheel_replay::error;
@@ -14,14 +14,14 @@
 use crate::util::Args;
 
 const USAGE: &str = "\
-Play a recorded trace in virtual time over the router's core, and compare with stated outcomes.
-Exits 1 if one is missed.
+Replay a trace in virtual time with the router's core or a baseline, and compare the results of
+the core with the required outcomes of the site. Exits with 1 if an outcome is missed.
 
 Usage:
     laburnumctl replay --outcomes SITE.toml [options] TRACE.csv
 
 Options:
-    --outcomes FILE    the site, and what must be reached
+    --outcomes FILE    description of the site and its required outcomes
     --policy NAME      core, round-robin, least-outstanding or all [default: core]
     --fault NAME       none, straggler, crash, straggler-and-crash, stop-engine, frozen-reports,
                        silence, lose-router, stop-router, outage or all [default: none]
@@ -32,7 +32,7 @@
     let Some(args) = args.read(USAGE, &["outcomes", "policy", "fault", "seed"], &[])? else {
         return Ok(());
     };
-    let file = args.need("outcomes")?;
+    let file = args.required("outcomes")?;
     let site = Site::read(&file, &util::read(&file)?)?;
     let name = args.operand("the trace")?;
     let records = trace::read(name, &util::read(name)?)?;
@@ -43,7 +43,7 @@
         Scenario::ALL.to_vec()
     } else {
         let known = Scenario::ALL.into_iter().find(|s| s.to_string() == fault);
-        vec![known.ok_or_else(|| Error::Usage(format!("no such fault: {fault}\n\n{USAGE}")))?]
+        vec![known.ok_or_else(|| Error::Usage(format!("unknown fault `{fault}`\n\n{USAGE}")))?]
     };
     let mut missed = Vec::new();
     for scenario in scenarios {
@@ -66,6 +66,7 @@
     Err(error::Error::Missed(missed).into())
 }
 
+/// Returns the policies that a value of `--policy` selects, with their names.
 fn policies(name: &str) -> Result<Vec<(&'static str, Policy)>, Error> {
     let all = [
         ("core", Policy::Core),
@@ -74,7 +75,7 @@
     ];
     let chosen: Vec<_> = all.into_iter().filter(|(n, _)| name == "all" || *n == name).collect();
     if chosen.is_empty() {
-        return Err(Error::Usage(format!("no such policy: {name}\n\n{USAGE}")));
+        return Err(Error::Usage(format!("unknown policy `{name}`\n\n{USAGE}")));
     }
     Ok(chosen)
 }
--- a/ctl/src/cmd/show.rs
+++ b/ctl/src/cmd/show.rs
@@ -1,4 +1,4 @@
-//! `laburnumctl show`
+//! Prints a published configuration.
 
 use laburnumwheel_router::publish;
 
@@ -13,8 +13,8 @@
     laburnumctl show [options]
 
 Options:
-    --key-value IP:PORT    the key-value service [LABURNUMWHEEL_KEY_VALUE]
-    --version-number N     an earlier version
+    --key-value IP:PORT    address of the key-value service [LABURNUMWHEEL_KEY_VALUE]
+    --version-number N     version to print [default: the version in force]
 ";
 
 pub fn run(args: Args) -> Result<(), Error> {
--- a/ctl/src/cmd/slopes.rs
+++ b/ctl/src/cmd/slopes.rs
@@ -1,4 +1,4 @@
-//! `laburnumctl slopes`
+//! Measures how the cost of a router grows with the sizes of a site.
 
 use std::fs;
 use std::time::Duration;
@@ -35,26 +35,29 @@
 use crate::util::Args;
 
 const USAGE: &str = "\
-Measure the slopes that docs/CAPACITY.md is worked out from. Takes about three minutes in a
-release build. Times are of this machine; compare them only within one run.
+Measure the figures that docs/CAPACITY.md is based on: how time and memory of a router grow with
+the sizes of a site. Takes about three minutes in a release build. Times depend on the machine;
+compare them only within one run.
 
 Usage:
     laburnumctl slopes
 ";
 
+/// Number of requests over which the cost of a request is averaged.
 const REQUESTS: u64 = 20_000;
+/// Virtual time for which idle routers are measured.
 const IDLE: Span = Span::secs(60);
 
 pub fn run(args: Args) -> Result<(), Error> {
     if args.read(USAGE, &[], &[])?.is_none() {
         return Ok(());
     }
-    // Memory first: what others free would hide it.
-    let _table = keys();
-    configuration()?;
-    decisions();
-    gossip();
-    entries();
+    // Memory is measured first: the allocator would reuse what other measurements free.
+    let _table = measure_keys();
+    measure_configuration()?;
+    measure_decisions();
+    measure_gossip();
+    measure_entries();
     Ok(())
 }
 
@@ -62,12 +65,12 @@
     cells.iter().map(ToString::to_string).collect()
 }
 
-/// Resident memory of this process, in bytes; 0 where it can't be read.
-fn resident() -> u64 {
-    const PAGE: u64 = 4096;
+/// Returns the resident memory of this process in bytes; 0 if it can't be read.
+fn resident_bytes() -> u64 {
+    const PAGE_BYTES: u64 = 4096;
     let statm = fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = statm.split_whitespace().nth(1).and_then(|n| n.parse::<u64>().ok());
-    pages.unwrap_or(0) * PAGE
+    pages.unwrap_or(0) * PAGE_BYTES
 }
 
 fn config(groups: usize, upstreams: usize, orgs: usize) -> Config {
@@ -115,7 +118,7 @@
     config
 }
 
-/// Reads a configuration into the node, as from the key-value service.
+/// Brings a configuration in force at a node by replies of the key-value service.
 fn apply(node: &mut Node, now: Time, version: u64, config: &Config) -> Result<(), Error> {
     apply_shards(node, now, version, split(config)?)
 }
@@ -158,8 +161,8 @@
     }
 }
 
-/// A request's decisions: arrival, choice, first frame, end.
-fn decisions() {
+/// Measures the time that a router takes for all decisions about a request.
+fn measure_decisions() {
     println!("\ndecision cost of a request (arrival, queue, choice, first frame, end)");
     let sizes = [
         (1, 15, 10, 0),
@@ -181,30 +184,30 @@
             now = now + Span::millis(10);
             node.handle(now, Event::Tick);
         }
-        let cost = decide(&mut node, now, groups, orgs, queued);
+        let cost = request_cost_us(&mut node, now, groups, orgs, queued);
         rows.push(row(&[&groups, &upstreams, &orgs, &queued, &format!("{cost:.2}")]));
     }
     util::table(&rows);
 }
 
-/// Microseconds a request, with so many waiting all the time.
-fn decide(node: &mut Node, mut now: Time, groups: usize, orgs: usize, queued: u64) -> f64 {
+/// Returns the microseconds for each request, while `queued` other requests wait.
+fn request_cost_us(node: &mut Node, mut now: Time, groups: usize, orgs: usize, queued: u64) -> f64 {
     let mut running = std::collections::VecDeque::new();
-    let take = |actions: Vec<Action>, running: &mut std::collections::VecDeque<_>| {
+    let collect = |actions: Vec<Action>, running: &mut std::collections::VecDeque<_>| {
         for action in actions {
             if let Action::Dispatch(d) = action {
                 running.push_back(d.attempt);
             }
         }
     };
-    let step = |node: &mut Node, now: Time, number: u64, class: &str| {
-        let s = submission(number, groups, orgs, class);
-        node.handle(now, Event::Request(RequestId(number), Box::new(s)))
+    let submit = |node: &mut Node, now: Time, number: u64, class: &str| {
+        let submission = submission(number, groups, orgs, class);
+        node.handle(now, Event::Request(RequestId(number), Box::new(submission)))
     };
     let mut number = 1;
     while node.in_progress() < queued as usize + running.len() || number <= queued {
-        let actions = step(node, now, number, "draft");
-        take(actions, &mut running);
+        let actions = submit(node, now, number, "draft");
+        collect(actions, &mut running);
         number += 1;
         if number > queued * 2 + 10_000 {
             break;
@@ -214,22 +217,25 @@
     for _ in 0..REQUESTS {
         number += 1;
         now = now + Span(20);
-        take(step(node, now, number, "draft"), &mut running);
+        collect(submit(node, now, number, "draft"), &mut running);
         let Some(attempt) = running.pop_front() else {
             continue;
         };
         let text = Bytes::from_static(b"x");
         let frame = Event::Frame { attempt, echo: attempt, offset: 0, tokens: 1, text };
         node.handle(now, frame);
-        take(node.handle(now, Event::Ended { attempt, echo: attempt, status: 200 }), &mut running);
+        collect(
+            node.handle(now, Event::Ended { attempt, echo: attempt, status: 200 }),
+            &mut running,
+        );
     }
     began.elapsed().as_secs_f64() * 1e6 / REQUESTS as f64
 }
 
-/// Idle routers: bytes to peers, calls to the service, and processor time.
-fn gossip() {
+/// Measures idle routers: messages to peers, calls to the key-value service, processor time.
+fn measure_gossip() {
     println!("\nidle routers over {} s of virtual time", IDLE.as_secs_f64());
-    let head = [
+    let header = [
         "routers",
         "bytes/s each",
         "messages/s each",
@@ -237,7 +243,7 @@
         "kv writes/min",
         "us of processor/s each",
     ];
-    let mut rows = vec![head.map(str::to_owned).to_vec()];
+    let mut rows = vec![header.map(str::to_owned).to_vec()];
     for n in [5, 9, 18, 36, 72, 144, 220] {
         let mut network: Network<()> = Network::new(Span::millis(1));
         network.store.publish(1, &config(31, 620, 10));
@@ -246,8 +252,8 @@
                 Node::new(network::settings(i, &format!("domain-{}", i % 12), 1, 1), network.now);
             network.add(Router::Node(Box::new(node)), i % 12);
         }
-        let settle = network.now + Span::secs(30);
-        while network.next(settle).is_some() {}
+        let settled = network.now + Span::secs(30);
+        while network.next(settled).is_some() {}
         let (bytes, messages) = network.traffic;
         let (reads, writes) = (network.store.reads, network.store.writes);
         let began = Instant::now();
@@ -282,8 +288,9 @@
     }
 }
 
-/// Entry answers by number of routers, and the memory of the member table.
-fn entries() {
+/// Measures the time of an entry answer and the size of a message with all members, by number of
+/// routers.
+fn measure_entries() {
     const ANSWERS: u32 = 2_000;
     println!("\nentry answers");
     let mut rows = vec![row(&[&"routers", &"us/answer", &"bytes of a member table message"])];
@@ -303,28 +310,30 @@
     util::table(&rows);
 }
 
-/// Configuration by number of organisations: memory, time to take force, bytes of one change.
-fn configuration() -> Result<(), Error> {
+/// Measures a configuration by number of organisations: memory, time until it is in force, and time
+/// and bytes of a change.
+fn measure_configuration() -> Result<(), Error> {
     println!("\nconfiguration");
-    let head = [
+    let header = [
         "organisations",
         "memory MB",
         "first load ms",
         "one change ms",
         "one change bytes to a peer",
     ];
-    let mut rows = vec![head.map(str::to_owned).to_vec()];
-    let mut kept = Vec::new();
+    let mut rows = vec![header.map(str::to_owned).to_vec()];
+    // Nodes are kept, so that the next one does not reuse their memory.
+    let mut nodes = Vec::new();
     for orgs in [1_000, 6_000, 18_000] {
         let now = Time(1_000_000);
-        let before = resident();
+        let before = resident_bytes();
         let mut node = Node::new(network::settings(0, "domain-0", 1, 1), now);
         let mut config = config(31, 6_600, orgs);
         let old = split(&config)?;
         let began = Instant::now();
         apply_shards(&mut node, now, 1, old.clone())?;
         let load = began.elapsed();
-        let memory = resident().saturating_sub(before) as f64 / 1e6;
+        let memory = resident_bytes().saturating_sub(before) as f64 / 1e6;
         config.organisations[7].weight = 2;
         let mut new = split(&config)?;
         let root = |version, parts| Root { version, operation: "op".to_owned(), shards: parts };
@@ -334,24 +343,25 @@
         for hash in change.set.values() {
             bytes += new.contents.get(hash).map_or(0, Bytes::len);
         }
-        // A router has all shards but the changed ones.
+        // The router already has all shards other than the changed ones.
         new.contents.retain(|hash, _| change.set.values().any(|h| h == hash));
         let began = Instant::now();
         apply_shards(&mut node, now, 2, new)?;
-        let again: Duration = began.elapsed();
+        let reload: Duration = began.elapsed();
         let ms = |d: Duration| format!("{:.0}", d.as_secs_f64() * 1e3);
-        kept.push(node);
-        rows.push(row(&[&orgs, &format!("{memory:.0}"), &ms(load), &ms(again), &bytes]));
+        nodes.push(node);
+        rows.push(row(&[&orgs, &format!("{memory:.0}"), &ms(load), &ms(reload), &bytes]));
     }
     util::table(&rows);
     Ok(())
 }
 
-/// Memory of remembered keys.
-fn keys() -> idempotency::Table {
+/// Measures the memory and time for each stored idempotency key; returns the table, so that its
+/// memory stays in use.
+fn measure_keys() -> idempotency::Table {
     const KEYS: usize = 100_000;
-    const ANSWER: usize = 200;
-    let before = resident();
+    const ANSWER_BYTES: usize = 200;
+    let before = resident_bytes();
     let mut table = idempotency::Table::new("r.1".to_owned(), Time(0));
     let prefix = idempotency::prefix("r.1", 1);
     let began = Instant::now();
@@ -361,12 +371,14 @@
         };
         let waiter = idempotency::Waiter::Caller(RequestId(i as u64));
         table.begin(&key, [0; 32], waiter);
-        let text = Bytes::from(vec![b'x'; ANSWER]);
+        let text = Bytes::from(vec![b'x'; ANSWER_BYTES]);
         let outcome = laburnumwheel_core::action::Outcome::Whole { status: 200, text, tokens: 0 };
         table.finish(&key, &outcome);
     }
     let each = began.elapsed().as_secs_f64() * 1e6 / KEYS as f64;
-    let bytes = resident().saturating_sub(before) / KEYS as u64;
-    println!("{KEYS} keys with answers of {ANSWER} bytes: {bytes} bytes and {each:.2} us each");
+    let bytes = resident_bytes().saturating_sub(before) / KEYS as u64;
+    println!(
+        "{KEYS} keys with answers of {ANSWER_BYTES} bytes: {bytes} bytes and {each:.2} us each"
+    );
     table
 }
--- a/ctl/src/cmd/status.rs
+++ b/ctl/src/cmd/status.rs
@@ -1,4 +1,4 @@
-//! `laburnumctl status`
+//! Prints the counters of a router.
 
 use hyper::Method;
 
@@ -8,13 +8,13 @@
 use crate::util::Args;
 
 const USAGE: &str = "\
-Counters of a router, by class.
+Print the counters of a router, in total and by class.
 
 Usage:
     laburnumctl status --router IP:PORT [options]
 
 Options:
-    --router IP:PORT         operators' address of a router [LABURNUMWHEEL_ROUTER]
+    --router IP:PORT         admin address of a router [LABURNUMWHEEL_ROUTER]
     --operator-token TEXT    operator token [LABURNUMWHEEL_OPERATOR_TOKEN]
     --json                   print JSON
 ";
@@ -24,8 +24,8 @@
         return Ok(());
     };
     util::block_on(async {
-        let client = Client::new(&args.need("operator-token")?);
-        let router = args.need("router")?;
+        let client = Client::new(&args.required("operator-token")?);
+        let router = args.required("router")?;
         let status = client.json(Method::GET, &format!("http://{router}/admin/status")).await?;
         let classes = client.json(Method::GET, &format!("http://{router}/admin/classes")).await?;
         if args.has("json") {
@@ -36,8 +36,8 @@
         for (name, value) in status.as_object().into_iter().flatten() {
             println!("{name}: {value}");
         }
-        let head = ["class", "received", "whole", "attained", "queued", "first p95 ms"];
-        let mut rows = vec![head.map(str::to_owned).to_vec()];
+        let header = ["class", "received", "whole", "attained", "queued", "first p95 ms"];
+        let mut rows = vec![header.map(str::to_owned).to_vec()];
         for class in classes.as_array().into_iter().flatten() {
             let cell = |name: &str| class[name].to_string().replace('"', "");
             let first = class["first_token"]["p95_ms"].to_string();
--- a/ctl/src/error.rs
+++ b/ctl/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a command failed, and its exit code.
+//! Errors of commands and their exit codes.
 
 use std::io;
 
@@ -6,7 +6,7 @@
 use laburnumwheel_router::publish;
 use thiserror::Error;
 
-/// Errors of all commands.
+/// Error of a command.
 #[derive(Debug, Error)]
 pub enum Error {
     #[error("{0}")]
@@ -36,7 +36,7 @@
 }
 
 impl Error {
-    /// Exit code of the process.
+    /// Returns the exit code of the process.
     pub fn exit_code(&self) -> u8 {
         match self {
             Error::Usage(_) | Error::Config(_) => 2,
--- a/ctl/src/main.rs
+++ b/ctl/src/main.rs
@@ -1,4 +1,4 @@
-//! The operators' command.
+//! Command-line program with which operators control and test laburnumwheel routers.
 
 mod client;
 mod cmd;
@@ -10,29 +10,29 @@
 use crate::error::Error;
 
 const USAGE: &str = "\
-laburnumctl: operate laburnumwheel routers
+laburnumctl: control and test laburnumwheel routers
 
 Usage:
     laburnumctl COMMAND [options]
 
 Commands:
     check      check configuration files
-    apply      have a configuration accepted
+    apply      publish a configuration
     show       print the configuration in force
     history    list accepted versions
-    status     counters of a router
-    members    routers as one router sees them
+    status     print the counters of a router
+    members    list the routers that a router knows
     drain      begin a planned stop of a router
-    entry      ask a router which routers to use
-    explain    tell what happened to one request, from logs of gateways
-    replay     play a recorded trace in virtual time and compare with stated outcomes
-    record     make a trace from a seed
-    relay      measure what a router adds to a stream
-    slopes     measure what docs/CAPACITY.md is worked out from
-    demo       run everything in one process for a few seconds
+    entry      query a router for the routers that a caller should use
+    explain    explain the outcome of a request from the logs of gateways
+    replay     replay a trace in virtual time and compare the results with required outcomes
+    record     generate a trace from a seed
+    relay      measure the overhead of a router on a stream
+    slopes     measure the figures that docs/CAPACITY.md is based on
+    demo       run routers, upstreams and callers in one process for a few seconds
 
-`laburnumctl COMMAND --help` tells more. Exit codes: 0 done, 1 failed, 2 wrong usage or
-configuration, 3 conflict, 4 outcome unknown.
+`laburnumctl COMMAND --help` prints the options of a command. Exit codes: 0 success, 1 failure,
+2 invalid usage or configuration, 3 version conflict, 4 outcome unknown.
 ";
 
 fn main() -> ExitCode {
@@ -73,6 +73,6 @@
             Ok(())
         }
         "" => Err(Error::Usage(USAGE.to_owned())),
-        other => Err(Error::Usage(format!("no such command: {other}\n\n{USAGE}"))),
+        other => Err(Error::Usage(format!("unknown command `{other}`\n\n{USAGE}"))),
     }
 }
--- a/ctl/src/util.rs
+++ b/ctl/src/util.rs
@@ -1,4 +1,4 @@
-//! What several commands share: flags, files and tables.
+//! Arguments, files and tables of commands.
 
 use std::collections::BTreeMap;
 use std::ffi::OsString;
@@ -12,7 +12,7 @@
 
 use crate::error::Error;
 
-/// Flags and operands of a command.
+/// Flags, switches and operands of a command.
 pub struct Args {
     parser: lexopt::Parser,
     flags: BTreeMap<String, String>,
@@ -21,7 +21,7 @@
 }
 
 impl Args {
-    /// Arguments behind the command's name.
+    /// Takes the arguments after the command's name, without parsing them.
     pub fn new(args: impl Iterator<Item = OsString>) -> Args {
         Args {
             parser: lexopt::Parser::from_args(args.collect::<Vec<_>>()),
@@ -31,7 +31,8 @@
         }
     }
 
-    /// Reads all arguments; `flags` take a value, `switches` do not. `None` after `--help`.
+    /// Parses all arguments; `flags` take a value, `switches` do not. Prints the usage and returns
+    /// `None` for `--help`.
     pub fn read(
         mut self,
         usage: &str,
@@ -61,24 +62,24 @@
         Ok(Some(self))
     }
 
-    /// Value of a flag, or of its environment variable.
+    /// Returns the value of a flag, or else of its environment variable.
     pub fn get(&self, flag: &str) -> Option<String> {
         let variable = format!("LABURNUMWHEEL_{}", flag.replace('-', "_").to_uppercase());
         self.flags.get(flag).cloned().or_else(|| std::env::var(variable).ok())
     }
 
-    /// Value of a flag that must be there.
-    pub fn need(&self, flag: &str) -> Result<String, Error> {
+    /// Returns the value of a required flag.
+    pub fn required(&self, flag: &str) -> Result<String, Error> {
         self.get(flag).ok_or_else(|| Error::Usage(format!("--{flag} is missing")))
     }
 
-    /// Value of a flag, parsed.
+    /// Parses the value of a flag.
     pub fn parse<T: std::str::FromStr>(&self, flag: &str) -> Result<Option<T>, Error> {
         let Some(text) = self.get(flag) else {
             return Ok(None);
         };
-        let wrong = |_| Error::Usage(format!("--{flag}: `{text}` is not valid"));
-        text.parse().map(Some).map_err(wrong)
+        let invalid = |_| Error::Usage(format!("--{flag}: `{text}` is not valid"));
+        text.parse().map(Some).map_err(invalid)
     }
 
     /// Whether a switch was given.
@@ -86,31 +87,32 @@
         self.switches.iter().any(|s| s == switch)
     }
 
-    /// A client of the key-value service that `--key-value` names.
+    /// Returns a client of the key-value service at the address in `--key-value`.
     pub fn key_value(&self) -> Result<kv::Client, Error> {
-        let text = self.need("key-value")?;
-        let wrong = || Error::Usage(format!("--key-value: `{text}` is not an address"));
-        let address: SocketAddr = text.parse().map_err(|_| wrong())?;
-        kv::Client::new(address).map_err(|_| wrong())
+        let text = self.required("key-value")?;
+        let invalid =
+            || Error::Usage(format!("--key-value: `{text}` is not an IP address and port"));
+        let address: SocketAddr = text.parse().map_err(|_| invalid())?;
+        kv::Client::new(address).map_err(|_| invalid())
     }
 
-    /// Everything that is no flag.
+    /// Returns the operands: all arguments other than flags and switches.
     pub fn operands(&self) -> &[String] {
         &self.operands
     }
 
-    /// The one operand.
-    pub fn operand(&self, what: &str) -> Result<&str, Error> {
+    /// Returns the only operand; `description` is its description in the error.
+    pub fn operand(&self, description: &str) -> Result<&str, Error> {
         match self.operands.as_slice() {
             [only] => Ok(only),
-            _ => Err(Error::Usage(format!("name {what}"))),
+            _ => Err(Error::Usage(format!("expected one operand: {description}"))),
         }
     }
 
-    /// The configuration of the files that the operands name: base first, then overlays.
+    /// Parses the configuration in the files that the operands name: the base, then its overlays.
     pub fn config(&self) -> Result<Config, Error> {
         if self.operands.is_empty() {
-            return Err(Error::Usage("name the base file, then the site's overlay".to_owned()));
+            return Err(Error::Usage("expected the base file, then its overlays".to_owned()));
         }
         let source =
             |name: &String| Ok::<_, Error>(Source { name: name.clone(), text: read(name)? });
@@ -124,12 +126,12 @@
     fs::read_to_string(name).map_err(|e| Error::File(name.to_owned(), e))
 }
 
-/// Runs `future` on a small runtime.
+/// Runs a future on a multi-threaded runtime.
 pub fn block_on<T>(future: impl Future<Output = Result<T, Error>>) -> Result<T, Error> {
     tokio::runtime::Builder::new_multi_thread().enable_all().build()?.block_on(future)
 }
 
-/// Prints rows in aligned columns, the first one to the left.
+/// Prints rows in columns, the first aligned to the left and the others to the right.
 pub fn table(rows: &[Vec<String>]) {
     let columns = rows.iter().map(Vec::len).max().unwrap_or(0);
     let width = |c: usize| rows.iter().filter_map(|r| r.get(c)).map(String::len).max().unwrap_or(0);
--- a/ctl/tests/commands.rs
+++ b/ctl/tests/commands.rs
@@ -1,4 +1,4 @@
-//! The commands as a user runs them.
+//! Commands of `laburnumctl`, run as processes.
 
 use std::fs;
 use std::path::PathBuf;
@@ -8,15 +8,18 @@
 use laburnumwheel_core::config;
 use laburnumwheel_standin::kv::Service as KeyValue;
 
-/// A folder of its own for each test.
+/// Creates a folder for a test.
 fn folder(test: &str) -> PathBuf {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(test);
-    fs::create_dir_all(&folder).expect("a folder");
+    fs::create_dir_all(&folder).expect("the folder should be created");
     folder
 }
 
 fn run(args: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_laburnumctl")).args(args).output().expect("it runs")
+    Command::new(env!("CARGO_BIN_EXE_laburnumctl"))
+        .args(args)
+        .output()
+        .expect("the command should run")
 }
 
 fn text(bytes: &[u8]) -> String {
@@ -32,11 +35,11 @@
 }
 
 #[test]
-fn check_reports_every_finding_and_exits_2() {
+fn check_prints_every_error_and_exits_with_2() {
     // Arrange
     let file = folder("check").join("base.toml");
-    fs::write(&file, base(9) + "colour = 1\n").expect("a file");
-    let name = file.to_str().expect("a name");
+    fs::write(&file, base(9) + "colour = 1\n").expect("the file should be accessible");
+    let name = file.to_str().expect("the path should be UTF-8");
 
     // Act
     let output = run(&["check", name]);
@@ -49,7 +52,7 @@
 }
 
 #[test]
-fn unknown_commands_and_flags_exit_2_with_usage() {
+fn unknown_commands_and_flags_print_usage_and_exit_with_2() {
     for args in [&["frobnicate"][..], &["check", "--fast"], &[], &["replay"]] {
         let output = run(args);
         assert_eq!(output.status.code(), Some(2), "{args:?}");
@@ -65,14 +68,14 @@
 #[test]
 fn apply_show_and_history_agree() {
     // Arrange
-    let runtime = tokio::runtime::Runtime::new().expect("a runtime");
-    let service = runtime.block_on(KeyValue::start(0)).expect("a port");
+    let runtime = tokio::runtime::Runtime::new().expect("the runtime should start");
+    let service = runtime.block_on(KeyValue::start(0)).expect("the service should start");
     let address = service.address.to_string();
     let folder = folder("apply");
     let file = |tier: u8| {
         let file = folder.join(format!("{tier}.toml"));
-        fs::write(&file, base(tier)).expect("a file");
-        file.to_str().expect("a name").to_owned()
+        fs::write(&file, base(tier)).expect("the file should be accessible");
+        file.to_str().expect("the path should be UTF-8").to_owned()
     };
     let (first, second) = (file(0), file(3));
     let kv = ["--key-value", &address];
@@ -95,27 +98,29 @@
 }
 
 #[test]
-fn replay_exits_1_when_an_outcome_is_missed() {
+fn replay_exits_with_1_when_an_outcome_is_missed() {
     // Arrange
     let traces = concat!(env!("CARGO_MANIFEST_DIR"), "/../traces");
-    let site = fs::read_to_string(format!("{traces}/kitchen.toml")).expect("a file");
+    let site = fs::read_to_string(format!("{traces}/kitchen.toml"))
+        .expect("the file should be accessible");
     let strict = site.replace("wasted = 1.0", "wasted = 0.0001");
     let file = folder("replay").join("strict.toml");
-    fs::write(&file, strict).expect("a file");
+    fs::write(&file, strict).expect("the file should be accessible");
     let trace = format!("{traces}/kitchen.csv");
 
     // Act
-    let output = run(&["replay", "--outcomes", file.to_str().expect("a name"), &trace]);
+    let output =
+        run(&["replay", "--outcomes", file.to_str().expect("the path should be UTF-8"), &trace]);
 
     // Assert
     assert_eq!(output.status.code(), Some(1));
     assert!(text(&output.stderr).starts_with("missed: none: wasted 0."));
 }
 
-/// Three failed requests as an on-call engineer finds them, in the logs of two gateways: the cause
-/// is told from the logs alone, and an id that nobody logged gets a clear answer.
+/// The logs of two gateways contain three failed requests. The command must derive the cause of
+/// each from the logs alone, and fail for an id that is in none of them.
 #[test]
-fn explain_tells_the_cause_of_a_failed_request() {
+fn explain_prints_the_cause_of_a_failed_request() {
     // Arrange
     let folder = folder("explain");
     let (one, two) = (folder.join("one.log"), folder.join("two.log"));
@@ -125,21 +130,24 @@
                   reason=stale_configuration version=10 proof_age_ms=4752\n\
                   time_us=10 node=two event=call request=cc outcome=overloaded status=503 attempts=0 \
                   replica=i-2 expected_ms=900 load=18 waiting=7 report_age_ms=300\n";
-    fs::write(&one, first).expect("a file");
-    fs::write(&two, second).expect("a file");
+    fs::write(&one, first).expect("the file should be accessible");
+    fs::write(&two, second).expect("the file should be accessible");
     let explain = |id: &str| {
-        let files = [one.to_str().expect("a name"), two.to_str().expect("a name")];
+        let files = [
+            one.to_str().expect("the path should be UTF-8"),
+            two.to_str().expect("the path should be UTF-8"),
+        ];
         run(&["explain", id, files[0], files[1]])
     };
 
     // Act
-    let told = ["aa", "bb", "cc"].map(|id| text(&explain(id).stdout));
+    let output = ["aa", "bb", "cc"].map(|id| text(&explain(id).stdout));
     let unknown = explain("dd");
 
     // Assert
-    assert!(told[0].contains("one.log:1: ") && told[0].contains("the last fault was broken"));
-    assert!(told[1].contains("last proved current 4752 ms before"), "{}", told[1]);
-    assert!(told[2].contains("900 ms were expected at replica i-2"), "{}", told[2]);
+    assert!(output[0].contains("one.log:1: ") && output[0].contains("the last fault was broken"));
+    assert!(output[1].contains("last proved current 4752 ms before"), "{}", output[1]);
+    assert!(output[2].contains("900 ms were expected at replica i-2"), "{}", output[2]);
     assert_eq!(unknown.status.code(), Some(1));
     assert!(text(&unknown.stderr).contains("no line names request dd"));
 }
