--- a/core/src/config/parse.rs
+++ b/core/src/config/parse.rs
@@ -81,6 +81,7 @@
     fields: BTreeMap<String, Field>,
 }
 
+/// Merges the entries of all sources and collects findings.
 struct Reader<'a> {
     sources: &'a [Source],
     findings: Vec<Finding>,
@@ -107,9 +108,11 @@
     if reader.findings.is_empty() { Ok(config) } else { Err(Findings(reader.findings)) }
 }
 
+/// Names of the tables in a configuration file.
 const KINDS: [&str; 4] = ["class", "group", "upstream", "organisation"];
 
 impl Reader<'_> {
+    /// Adds a finding at the start of a location.
     fn report(&mut self, location: &Location, message: String) {
         let source = &self.sources[location.0];
         let offset = location.1.start.min(source.text.len());
--- a/core/src/peer.rs
+++ b/core/src/peer.rs
@@ -32,7 +32,8 @@
 /// it knows to be leaving.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Demand {
-    /// Requests at upstreams and in queues, by group and tier.
+    /// Smoothed number of requests at upstreams and in queues, by group and tier, in sixteenths of
+    /// a request.
     pub wanted: BTreeMap<String, TierDemand>,
     /// Requests and tokens a second, by organisation, for those with a limit.
     pub used: BTreeMap<String, (f32, f32)>,
