--- a/replay/src/network.rs
+++ b/replay/src/network.rs
@@ -49,7 +49,7 @@
     Up,
     /// It is unavailable.
     Down,
-    /// Writes take effect, but their replies are lost.
+    /// Writes take effect, but their replies are lost; reads get replies.
     LoseReplies,
 }
 
--- a/replay/src/simulation.rs
+++ b/replay/src/simulation.rs
@@ -192,18 +192,27 @@
     network: Network<Item>,
     trace_start: Time,
     upstreams: Vec<Upstream>,
+    /// Index of the failure domain of each upstream.
     upstream_domains: Vec<usize>,
     upstreams_by_address: BTreeMap<String, usize>,
     upstream_names: Vec<String>,
+    /// Last call of each record.
     calls: Vec<Option<Call>>,
+    /// Record of each request, by router and request id.
     records_by_request: BTreeMap<(usize, RequestId), usize>,
     next_request: u64,
+    /// Number of executions of each record.
     executions: BTreeMap<usize, u64>,
+    /// Cached entry answers by organisation and caller.
     entry_answers: BTreeMap<(usize, usize), CachedAnswer>,
     faults: Vec<Fault>,
+    /// Attempts whose connections are silent.
     silent_attempts: BTreeSet<AttemptKey>,
+    /// Upstream of each open attempt.
     open_attempts: BTreeMap<AttemptKey, usize>,
+    /// Loads that are reported until a time.
     frozen_reports: Option<(Time, Vec<Load>)>,
+    /// Sequence number of the last cache event of each upstream.
     cache_sequence: Vec<u64>,
     broken: Broken,
     rng: StdRng,
--- a/replay/src/simulation/callers.rs
+++ b/replay/src/simulation/callers.rs
@@ -30,17 +30,17 @@
         let cached = self.entry_answers.get(&(organisation, caller));
         let cached = cached.filter(|c| c.expires_at > self.network.now);
         let cached = cached
-            .and_then(|k| k.addresses.iter().find(|(r, _)| self.network.is_running(*r)).cloned());
+            .and_then(|c| c.addresses.iter().find(|(r, _)| self.network.is_running(*r)).cloned());
         if cached.is_some() {
             return cached;
         }
-        let up: Vec<usize> =
+        let running: Vec<usize> =
             (0..self.network.len()).filter(|r| self.network.is_running(*r)).collect();
-        let any = *up.get(self.rng.random_range(0..up.len().max(1)))?;
+        let queried = *running.get(self.rng.random_range(0..running.len().max(1)))?;
         let domain = self.site.domain(caller).to_owned();
         let now = self.network.now;
-        let Some(node) = self.network.node_mut(any) else {
-            return Some((any, String::new()));
+        let Some(node) = self.network.node_mut(queried) else {
+            return Some((queried, String::new()));
         };
         let answer = node.entry(now, Some(&domain), None)?;
         let number = |a: &str| a.rsplit(':').next()?.parse::<usize>().ok()?.checked_sub(9000);
--- a/replay/src/simulation/faults.rs
+++ b/replay/src/simulation/faults.rs
@@ -35,18 +35,18 @@
                 self.frozen_reports = Some((self.network.now + length, self.loads()));
             }
             Fault::Silence { upstream } => {
-                let there = self.open_attempts.iter().filter(|(_, u)| **u == upstream);
-                self.silent_attempts.extend(there.map(|(id, _)| *id).collect::<Vec<_>>());
+                let affected = self.open_attempts.iter().filter(|(_, u)| **u == upstream);
+                self.silent_attempts.extend(affected.map(|(id, _)| *id).collect::<Vec<_>>());
             }
             Fault::LoseRouter { router } => {
                 self.network.kill(router);
-                let there: Vec<(AttemptKey, usize)> = self
+                let affected: Vec<(AttemptKey, usize)> = self
                     .open_attempts
                     .iter()
                     .filter(|(id, _)| id.0 == router)
                     .map(|(id, u)| (*id, *u))
                     .collect();
-                for (id, upstream) in there {
+                for (id, upstream) in affected {
                     self.open_attempts.remove(&id);
                     self.cancel_attempt(upstream, id);
                 }
@@ -68,9 +68,9 @@
             }
             Upstream::Service(service) => service.crashed = true,
         }
-        let there = self.open_attempts.iter().filter(|(_, u)| **u == upstream);
-        let there: Vec<AttemptKey> = there.map(|(id, _)| *id).collect();
-        for id in there {
+        let affected = self.open_attempts.iter().filter(|(_, u)| **u == upstream);
+        let affected: Vec<AttemptKey> = affected.map(|(id, _)| *id).collect();
+        for id in affected {
             self.fail(upstream, id, Failure::Broken);
         }
     }
--- a/replay/tests/rolling.rs
+++ b/replay/tests/rolling.rs
@@ -17,9 +17,10 @@
     router: usize,
     prefix: String,
     /// Requests that it submits before the answer expires.
-    left: u64,
+    remaining: u64,
 }
 
+/// Creates a caller with an entry answer of a running router.
 fn entry(cluster: &mut Cluster, number: usize) -> Caller {
     let now = cluster.network.now;
     let queried =
@@ -32,7 +33,7 @@
     let first = &answer.addresses[0];
     let number = first.address.rsplit(':').next().and_then(|p| p.parse::<usize>().ok());
     let router = number.expect("the address should have a port") - 9000;
-    Caller { router, prefix: first.key_prefix.clone(), left: ENTRY_TTL.as_millis() / 100 }
+    Caller { router, prefix: first.key_prefix.clone(), remaining: ENTRY_TTL.as_millis() / 100 }
 }
 
 /// All routers are restarted, one after another, while six callers submit requests. Each request
@@ -52,10 +53,10 @@
             rounds += 1;
             assert!(rounds < 600, "router {stopping} does not exit");
             for (n, caller) in callers.iter_mut().enumerate() {
-                if caller.left == 0 {
+                if caller.remaining == 0 {
                     *caller = entry(&mut cluster, n + rounds);
                 }
-                caller.left -= 1;
+                caller.remaining -= 1;
                 let bid = sent.len();
                 let key = format!("{}{bid}", caller.prefix);
                 let id = cluster.submit(caller.router, &key, &format!("bid {bid}"));
