--- a/ctl/src/cmd/demo.rs
+++ b/ctl/src/cmd/demo.rs
@@ -1,4 +1,4 @@
-//! Runs a small site in one process and prints what its callers got.
+//! Runs a small site in one process and prints the outcomes of its calls.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/replay/src/network.rs
+++ b/replay/src/network.rs
@@ -1,9 +1,10 @@
 //! Simulates routers, the messages between them and the key-value service in virtual time.
 //!
 //! Messages can be delayed, blocked or lost, routers can be killed or paused, and the service can
-//! be unavailable or lose replies. Everything that happens is an entry of one queue, which runs in
-//! the order of time and of scheduling. The network performs the routers' actions towards peers
-//! and the service; it returns those towards callers and upstreams to its user.
+//! be unavailable or lose replies. All events are entries of one queue. They run in the order of
+//! their times, those of the same time in the order in which they were scheduled. The network
+//! performs the routers' actions towards peers and the service, and returns those towards callers
+//! and upstreams to its user.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
--- a/replay/tests/traces.rs
+++ b/replay/tests/traces.rs
@@ -67,8 +67,8 @@
 }
 
 /// A router disappears without notice. Its callers see their connections break and submit their
-/// requests to another one. Requests that the lost router may have run must end as outcome_unknown
-/// and must not run twice.
+/// requests to another one. Requests with idempotency keys that the lost router may have run must
+/// end as outcome_unknown and must not run twice.
 #[test]
 fn outcomes_are_reached_when_a_router_is_lost() {
     assert_reached("auction", Scenario::LoseRouter);
