--- a/replay/src/simulation.rs
+++ b/replay/src/simulation.rs
@@ -1,8 +1,8 @@
 //! Simulates the routers, callers, engines and services of a site in virtual time.
 //!
-//! All events are items in the queue of the [`Network`]. They run in the order of their times, those
-//! of the same time in the order in which they were scheduled. All random choices come from seeded
-//! generators, so that the same trace, faults and seed give the same results.
+//! All events are items in the queue of the [`Network`]. They run in the order of their times,
+//! those of the same time in the order in which they were scheduled. All random choices come from
+//! seeded generators, so that the same trace, faults and seed give the same results.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
