--- a/core/src/config/mod.rs
+++ b/core/src/config/mod.rs
@@ -150,7 +150,7 @@
     removed: Removed,
 }
 
-/// Names of removed entries with their keys, which an entry of the same name gets again.
+/// Keys of removed entries by name; a new entry of the same name gets the same key.
 #[derive(Clone, Debug, Default)]
 struct Removed {
     classes: BTreeMap<String, ClassKey>,
--- a/core/src/limit.rs
+++ b/core/src/limit.rs
@@ -18,7 +18,7 @@
 pub const REPORT_RETENTION: Span = Span::secs(10);
 /// Weight of the newest measurement in the moving average of a rate.
 const RATE_SMOOTHING: f64 = 0.3;
-/// Shortest period over which a rate is measured; over less, the rate is mostly noise.
+/// Shortest period over which a rate is measured; a rate over a shorter one is mostly noise.
 const MIN_MEASUREMENT: Span = Span::millis(200);
 /// Rate in requests a second above which usage is reported to peers.
 const MIN_REPORTED_RATE: f64 = 0.01;
--- a/core/src/member.rs
+++ b/core/src/member.rs
@@ -46,7 +46,7 @@
 const MAX_PIGGYBACKS: u32 = 6;
 /// Upper bound on changed records of other routers in one probe or answer.
 const MAX_PIGGYBACKED_RECORDS: usize = 8;
-/// Interval between probes of dead routers, which end a partition.
+/// Interval between probes of dead routers. Only such a probe reunites the sides of a partition.
 const DEAD_PROBE_INTERVAL: Span = Span::secs(5);
 /// Upper bound on other routers in the table.
 const MAX_MEMBERS: usize = 4_096;
@@ -322,8 +322,8 @@
         }
         if now.since(self.last_dead_probe) >= DEAD_PROBE_INTERVAL {
             self.last_dead_probe = now;
-            // After a partition, each side takes the other for dead; only a probe of a dead router
-            // reunites them.
+            // After a partition, the routers of each side have declared those of the other dead;
+            // only a probe of a dead router reunites them.
             let dead = self
                 .others
                 .values()
--- a/core/src/node/attempt.rs
+++ b/core/src/node/attempt.rs
@@ -206,7 +206,7 @@
         }
     }
 
-    /// Fails attempts without a frame for longer than their timeout.
+    /// Fails attempts that received no frame within their timeout.
     ///
     /// A connection can stay open without carrying any more data while new ones work, and an engine
     /// can hang with its socket open. Neither ends the stream, so only a timeout detects it.
--- a/core/src/node/control.rs
+++ b/core/src/node/control.rs
@@ -23,7 +23,8 @@
 const SHARE_INTERVAL: Span = Span::millis(50);
 /// Interval of the less urgent tasks; see [`Node::tick_slow`].
 const SLOW_INTERVAL: Span = Span::secs(1);
-/// Intervals at which demand is sent to peers, with few and with many routers.
+/// Intervals at which demand is sent to peers: with fewer live routers than
+/// [`cell::MAX_ROUTERS_WITHOUT_CELLS`], and otherwise.
 const DEMAND_INTERVAL_FEW: Span = Span::millis(250);
 const DEMAND_INTERVAL_MANY: Span = Span::secs(2);
 /// Time after which missing shards are requested again.
@@ -50,7 +51,7 @@
     pub(super) kv_failed: bool,
     /// Configuration versions gossiped by peers while joining, by router name.
     pub(super) received_versions: BTreeMap<String, u64>,
-    /// Number of member changes and configuration version for which the cells were computed.
+    /// State from which the cells were computed: number of member changes, configuration version.
     pub(super) cells_inputs: (u64, u64),
 }
 
--- a/core/src/node/dispatch.rs
+++ b/core/src/node/dispatch.rs
@@ -26,15 +26,17 @@
 
 /// Factor by which slots are overcommitted before any load report.
 pub const INITIAL_HEADROOM: f64 = 1.35;
-/// Lower and upper bounds on the headroom.
+/// Lower and upper bounds on the headroom, the factor by which slots are overcommitted.
 const MIN_HEADROOM: f64 = 1.35;
 const MAX_HEADROOM: f64 = 1.5;
-/// Requests that wait inside engines, as a share of their slots, above which headroom decreases.
+/// Number of requests waiting inside the engines, as a share of the slots, above which the headroom
+/// decreases.
 const TARGET_WAITING_SHARE: f64 = 0.1;
 /// Factors by which headroom changes at each adjustment.
 const HEADROOM_INCREASE: f64 = 1.04;
 const HEADROOM_DECREASE: f64 = 0.97;
-/// Share of the first-token target at which the wait, so far and expected, justifies a preemption.
+/// Sum of elapsed and expected wait, as a share of the first-token target, from which a request may
+/// preempt a stream.
 const PREEMPTION_WAIT_SHARE: f64 = 0.1;
 /// Timeouts for the first token, for protected and for other classes.
 const FIRST_TOKEN_TIMEOUT_PROTECTED: Span = Span::millis(1_500);
@@ -178,8 +180,8 @@
             address: up.address.clone(),
             target: r.submission.target.clone(),
             body: r.submission.body.clone(),
-            // Engines apply priorities strictly: a request sent by its class's guaranteed share
-            // would wait inside the engine behind every higher tier.
+            // Engines apply priorities strictly: with the priority of its tier, a request that is
+            // dispatched on trickle credit would wait inside the engine behind all higher tiers.
             priority: if r.promoted { 0 } else { r.flow.rule.tier },
             offset: r.delivered,
             partial: if r.delivered > 0 { r.text() } else { bytes::Bytes::new() },
--- a/core/src/node/keyed.rs
+++ b/core/src/node/keyed.rs
@@ -29,7 +29,7 @@
 const RESEND_INTERVAL: Span = Span::secs(2);
 /// Time after which a forwarded request without an outcome ends as `outcome_unknown`.
 const OUTCOME_TIMEOUT: Span = Span::secs(45);
-/// Time after which callers should retry.
+/// Time after which callers should retry a refused request with a key.
 const RETRY_AFTER: Span = Span::secs(2);
 /// Upper bound on forwarded requests in progress.
 const MAX_FORWARDS: usize = 10_000;
@@ -103,7 +103,7 @@
             return;
         };
         if self.forwards.len() >= MAX_FORWARDS {
-            // An earlier request with the key may have run, which only its home knows.
+            // An earlier request with the key may have run; only the home of the key knows.
             let outcome = refusal(Verdict::OutcomeUnknown, Reason::KeyTableFull, RETRY_AFTER);
             self.finish_caller(id, outcome);
             return;
@@ -198,8 +198,7 @@
         !self.forwards.is_empty()
     }
 
-    /// Requests and tokens of each limited organisation since the last measurement, for peers. Only
-    /// the most active organisations are reported.
+    /// Requests and tokens a second of the most active organisations with a limit, for peers.
     pub(super) fn usage_by_org(&mut self, now: Time) -> BTreeMap<String, (f32, f32)> {
         const MAX_ORGANISATIONS: usize = 64;
         let mut active = self.limits.measure(now);
--- a/core/src/node/mod.rs
+++ b/core/src/node/mod.rs
@@ -137,7 +137,7 @@
     demands: Demands,
     cells: Cells,
     routers: Routers,
-    /// Highest tier number of the protected classes.
+    /// Highest tier number, that is lowest priority, of the protected classes.
     lowest_protected_tier: Option<u8>,
     table: Table,
     forwards: BTreeMap<RequestId, Forward>,
--- a/core/src/node/request.rs
+++ b/core/src/node/request.rs
@@ -32,7 +32,7 @@
 
 /// Upper bound on requests queued in one group.
 const MAX_QUEUED_REQUESTS: usize = 16_384;
-/// Requests with an estimated wait up to this length are always queued.
+/// Longest estimated wait that never causes a refusal, even if the patience is shorter.
 const ACCEPTED_WAIT: Span = Span::secs(1);
 /// Time after which callers should retry if nothing better is known.
 const DEFAULT_RETRY_AFTER: Span = Span::secs(1);
@@ -86,9 +86,9 @@
     pub failed_upstreams: Vec<Key<Upstream>>,
     /// Number of times that it was preempted.
     pub preemptions: u32,
-    /// Whether its class's trickle let it go before higher tiers.
+    /// Whether it was dispatched before higher tiers on the trickle credit of its class.
     pub promoted: bool,
-    /// Whether an ended attempt may have reached an upstream that may have acted on it.
+    /// Whether an upstream may have acted on an attempt that has ended.
     pub may_have_run: bool,
     /// Number of delivered tokens.
     pub delivered: u32,
@@ -99,7 +99,7 @@
 }
 
 impl Request {
-    /// The caller that receives tokens as they arrive, if the request is a stream of this router.
+    /// The caller of this router to which the answer is streamed; `None` for any other request.
     pub fn streaming_caller(&self) -> Option<RequestId> {
         match self.recipient {
             Recipient::Caller(id) if self.submission.stream => Some(id),
@@ -399,7 +399,8 @@
 }
 
 impl Request {
-    /// Outcome of a request that is given up: whether it ran, as far as this router knows.
+    /// Outcome of a request that is given up. Its verdict states whether the request ran, as far as
+    /// this router knows.
     pub(super) fn failure_outcome(&self, reason: Reason, retry_after: Span) -> Outcome {
         let verdict = if !self.may_have_run {
             Verdict::NotRun
--- a/core/src/node/stop.rs
+++ b/core/src/node/stop.rs
@@ -1,9 +1,9 @@
 //! Stops a router without interrupting requests in progress.
 //!
 //! The router first announces that it is leaving, so that entry answers of all routers no longer
-//! contain it. It serves callers for another time to live of these answers, because callers may
-//! still use one. Then it accepts no new requests, finishes those in progress, hands its
-//! idempotency keys over to one successor, and exits.
+//! contain it. It continues to serve callers until the earlier answers have expired. Then it
+//! accepts no new requests, finishes those in progress, hands its idempotency keys over to one
+//! successor, and exits.
 
 use super::Node;
 use crate::action::Action;
@@ -15,17 +15,17 @@
 use crate::time::Span;
 use crate::time::Time;
 
-/// Time for which a leaving router serves callers: the time to live of an entry answer, and some
-/// more for answers that are still in transit.
+/// Time for which a leaving router still serves callers: the time to live of an entry answer, plus
+/// two seconds for answers in transit.
 const LEAVING_PERIOD: Span = Span(entry::TTL.0 + Span::secs(2).0);
 /// Time between the end of the stop and the exit, in which the members learn that the successor
 /// holds the keys.
 const EXIT_DELAY: Span = Span::secs(2);
 /// Interval at which unconfirmed parts of the table are sent again.
 const RESEND_INTERVAL: Span = Span::millis(500);
-/// Time after which a hand-over that the successor has not confirmed is given up.
-const HAND_OVER_TIMEOUT: Span = Span::secs(10);
-/// Size of a part of the table, in bytes.
+/// Time after which a handover that the successor has not confirmed is given up.
+const HANDOVER_TIMEOUT: Span = Span::secs(10);
+/// Approximate size of each part in which the table is handed over, in bytes.
 const PART_BYTES: usize = 256 << 10;
 
 /// Phase of the stop of a router.
@@ -37,8 +37,8 @@
     Leaving(Time),
     /// No new requests are accepted; those in progress finish.
     Draining,
-    /// The keys are being sent to the successor; `unconfirmed` are the homes that
-    /// the successor has not confirmed.
+    /// The keys are being sent to the successor; `unconfirmed` are the homes that the successor has
+    /// not confirmed.
     HandingOver { successor: String, started: Time, sent: Time, unconfirmed: Vec<String> },
     /// The stop is complete; the process exits at the given time.
     Done(Time),
@@ -79,11 +79,11 @@
             }
             Phase::Draining => {
                 if self.requests.is_empty() && !self.has_forwards() {
-                    self.begin_hand_over(now);
+                    self.begin_handover(now);
                 }
             }
             Phase::HandingOver { successor, started, sent, unconfirmed } => {
-                self.continue_hand_over(now, successor, started, sent, unconfirmed);
+                self.continue_handover(now, successor, started, sent, unconfirmed);
             }
             Phase::Done(at) => {
                 if now >= at {
@@ -98,7 +98,7 @@
 
     /// Chooses the successor and sends it the keys. The successor is never replaced by another,
     /// because two owners of a key could both run its request.
-    fn begin_hand_over(&mut self, now: Time) {
+    fn begin_handover(&mut self, now: Time) {
         let own = self.members.own().name.clone();
         let candidates = self.members.live().filter(|r| r.accepts_callers());
         let nearest = candidates.min_by(|a, b| {
@@ -125,8 +125,8 @@
         }
     }
 
-    /// Sends unconfirmed parts again, or ends the hand-over.
-    fn continue_hand_over(
+    /// Sends unconfirmed parts again, or ends the handover.
+    fn continue_handover(
         &mut self,
         now: Time,
         successor: String,
@@ -138,7 +138,7 @@
             self.end_stop(now);
             return;
         }
-        if now.since(started) >= HAND_OVER_TIMEOUT {
+        if now.since(started) >= HANDOVER_TIMEOUT {
             // Other routers answer `outcome_unknown` for keys of this home from now on.
             let line = Line::new("hand_over_failed").with("successor", successor);
             self.out.push(Action::Log(line));
--- a/core/src/order.rs
+++ b/core/src/order.rs
@@ -2,7 +2,7 @@
 //!
 //! A lease is a value in the key-value service; the router that wrote it last holds it. The
 //! revision of the write is the fencing token of the orders sent under the lease, and is higher
-//! than that of any earlier write. Expiry needs no common clock: the holder stops
+//! than that of any earlier write. Expiry needs no common clock: the holder sends no more orders
 //! [`LEASE_VALIDITY`] after it sent its last renewal, and another router takes the lease over when
 //! it has seen the same revision for [`LEASE_EXPIRY`], which is longer.
 //!
@@ -18,7 +18,7 @@
 
 /// Time after which a holder renews its lease.
 pub const RENEWAL_INTERVAL: Span = Span::secs(3);
-/// Time after the holder sent its last renewal from which it sends no more orders.
+/// Time since the last renewal was sent after which the holder sends no more orders.
 pub const LEASE_VALIDITY: Span = Span::secs(8);
 /// Time without a new revision after which a lease has expired for other routers. Must be longer
 /// than [`LEASE_VALIDITY`], or two routers could send orders at the same time.
--- a/core/src/queue.rs
+++ b/core/src/queue.rs
@@ -25,8 +25,8 @@
 const RATE_TIME_CONSTANT_S: f64 = 2.0;
 /// Upper bound on backlogs that are examined to estimate a wait.
 const MAX_SAMPLED: usize = 64;
-/// Lower bound on the assumed dispatch rate, in tokens per second; holds before any measurement.
-const MIN_RATE: f64 = 50.0;
+/// Dispatch rate that is assumed if the measured one is lower, as before the first dispatch.
+const MIN_TOKENS_PER_S: f64 = 50.0;
 
 /// A queued request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -239,8 +239,8 @@
         Some(item)
     }
 
-    /// Estimated tokens that are dispatched before a new request of `org`: its own backlog, and of
-    /// every other one as much as the round robin serves in the meantime. If there are many
+    /// Estimated tokens that are dispatched before a new request of `org`: its own backlog, and the
+    /// part of every other backlog that the round robin serves in the meantime. If there are many
     /// backlogs, the sum is extrapolated from [`MAX_SAMPLED`] of them.
     fn tokens_ahead(&self, org: OrgKey, weight: u32) -> f64 {
         let own = self.backlogs.get(&org).map_or(0, |b| b.cost) as f64;
@@ -388,6 +388,6 @@
         if let Some(own) = self.classes.get(&flow.class) {
             ahead += own.tokens_ahead(flow.org, flow.weight);
         }
-        Span::from_secs_f64(ahead / self.dispatched.get(now).max(MIN_RATE))
+        Span::from_secs_f64(ahead / self.dispatched.get(now).max(MIN_TOKENS_PER_S))
     }
 }
--- a/core/src/stats.rs
+++ b/core/src/stats.rs
@@ -50,7 +50,7 @@
 impl Default for Series {
     fn default() -> Self {
         let histogram = || {
-            // DIGITS is within 0 to 5, the only condition for an error.
+            // `new` fails only for a precision outside 0 to 5.
             Histogram::new(DIGITS).unwrap_or_else(|_| unreachable!("valid precision"))
         };
         Series {
--- a/core/src/upstream.rs
+++ b/core/src/upstream.rs
@@ -34,7 +34,7 @@
 const MAX_SLOWNESS: f64 = 10.0;
 /// Slowness from which a replica is a straggler.
 pub const STRAGGLER_SLOWNESS: f64 = 2.0;
-/// Upper bound on replicas that are compared for a request, without holders of its prefix.
+/// Upper bound on replicas that are compared for a request, not counting holders of its prefix.
 const MAX_SCORED: usize = 6;
 /// Cost of a replica in another failure domain, in requests per slot.
 const OTHER_DOMAIN_COST: f64 = 0.05;
@@ -316,7 +316,7 @@
         self.update_rank(now, arena, key);
     }
 
-    /// Upper bound on this router's attempts in the group, without urgent requests.
+    /// Upper bound on this router's attempts in the group, not counting urgent requests.
     pub fn max_outstanding(&self) -> u32 {
         self.max_outstanding
     }
--- a/core/tests/guards.rs
+++ b/core/tests/guards.rs
@@ -1,4 +1,4 @@
-//! Rules that no other test covers; each of these tests fails without one particular check.
+//! Checks that no other test covers; each test fails if one particular check is removed.
 
 mod support;
 
--- a/core/tests/lease.rs
+++ b/core/tests/lease.rs
@@ -28,7 +28,14 @@
 }
 
 /// Performs the next step of a lease; the reply to a write is lost if `lost` is set.
-fn act(lease: &mut Lease, name: &str, store: &mut Store, now: Time, lost: bool, checks: bool) {
+fn take_step(
+    lease: &mut Lease,
+    name: &str,
+    store: &mut Store,
+    now: Time,
+    lost: bool,
+    checks: bool,
+) {
     match lease.next_step(now, name, checks) {
         Step::Wait => {}
         Step::Read => lease.on_read(now, name, store.value.clone()),
@@ -76,7 +83,7 @@
                     last = Some((i, now, fence));
                 }
             }
-            act(&mut leases[router], names[router], &mut store, now, lost == 0, checks);
+            take_step(&mut leases[router], names[router], &mut store, now, lost == 0, checks);
         }
     }
 }
@@ -89,14 +96,14 @@
         (Lease::default(), Lease::default(), Store::default());
     let mut now = Time(1_000_000);
     for _ in 0..2 {
-        act(&mut stopped, "a", &mut store, now, false, false);
+        take_step(&mut stopped, "a", &mut store, now, false, false);
     }
     assert!(stopped.fencing_token(now).is_some());
 
     // Act
     let mut elapsed_s = 0;
     while successor.fencing_token(now).is_none() && elapsed_s < 60 {
-        act(&mut successor, "b", &mut store, now, false, false);
+        take_step(&mut successor, "b", &mut store, now, false, false);
         now = now + Span::secs(1);
         elapsed_s += 1;
     }
--- a/core/tests/queueing.rs
+++ b/core/tests/queueing.rs
@@ -64,8 +64,8 @@
     assert!(ranks.clone().all(|p| p.is_some_and(|p| p < 20)), "{:?}", ranks.collect::<Vec<_>>());
 }
 
-/// A constant queue of urgent requests would starve bulk requests, were it not for the trickle of
-/// their class.
+/// Without the trickle of their class, bulk requests would starve behind a constant queue of urgent
+/// requests.
 #[test]
 fn the_lowest_class_is_not_starved() {
     // Arrange
@@ -122,7 +122,8 @@
     for d in &running {
         harness.frame(d.attempt, 0);
     }
-    // The mean duration of an attempt, which an urgent request would wait for, is now long.
+    // The end of a long attempt raises the mean duration, from which the wait of an urgent request
+    // is estimated.
     harness.advance(Span::millis(400));
     let first = running.remove(0);
     harness.end(first.attempt);
--- a/core/tests/streams.rs
+++ b/core/tests/streams.rs
@@ -165,7 +165,7 @@
 }
 
 /// A caller disconnects in the middle of a stream. The attempt must be cancelled immediately, or
-/// the engine would generate tokens for nobody.
+/// the engine would continue to generate tokens that no one receives.
 #[test]
 fn a_request_of_a_disconnected_caller_is_cancelled() {
     // Arrange
