--- a/core/src/member.rs
+++ b/core/src/member.rs
@@ -181,10 +181,10 @@
         self.disseminate(rng, out, gossip);
     }
 
-    /// The live router that owns the idempotency keys of the home `base`.
-    pub fn find_home(&self, base: &str) -> Option<&Record> {
+    /// The live router that owns the idempotency keys of `home`.
+    pub fn find_home(&self, home: &str) -> Option<&Record> {
         let live = self.all().filter(|r| r.is_live());
-        let mut live = live.filter(|r| r.home() == base || r.adopted.iter().any(|a| a == base));
+        let mut live = live.filter(|r| r.home() == home || r.adopted.iter().any(|a| a == home));
         live.next()
     }
 
@@ -202,8 +202,8 @@
         each.fold(0, |a, b| a ^ b)
     }
 
-    /// Gossip for a probe or answer to `to`: recent changes, and a suspicion of `to` itself, so
-    /// that it can refute it.
+    /// Gossip for a probe or answer to `to`: recent changes, and any suspicion of `to`, so that the
+    /// receiver can refute it.
     fn gossip_for(&mut self, to: &str) -> Gossip {
         let mut records = Vec::new();
         if self.own_piggybacks > 0 {
--- a/core/src/node/orders.rs
+++ b/core/src/node/orders.rs
@@ -156,6 +156,7 @@
                     orders.lease = Lease::default();
                     orders.sent.remove(name);
                 }
+                // The order may still arrive; it is repeated after [`MAX_ORDER_DELAY`].
                 OrderResult::Unknown => *at = now - (Span(REPORT_TIMEOUT.0 - MAX_ORDER_DELAY.0)),
             }
         }
--- a/core/src/node/upstreams.rs
+++ b/core/src/node/upstreams.rs
@@ -10,7 +10,8 @@
 use crate::upstream::Upstream;
 
 impl Node {
-    /// Adds the replicas of `config`. Replicas that it no longer contains finish their requests.
+    /// Adds the replicas of `config`. Replicas that it no longer contains are dropped once their
+    /// requests have ended.
     pub(super) fn apply_upstreams(&mut self, now: Time, config: &Config) {
         for up in self.upstream_by_name.values() {
             if let Some(up) = self.upstreams.get_mut(*up) {
@@ -86,8 +87,8 @@
         self.dispatch_queued(now, group);
     }
 
-    /// Applies the platform's list of leaving hosts, and sends new entries to the peers
-    /// immediately, because each router reads the list only rarely.
+    /// Applies the platform's list of leaving hosts, and tells the peers immediately which upstreams
+    /// are newly leaving, because each router reads the list only rarely.
     pub(super) fn on_hosts(&mut self, now: Time, leaving: &[String]) {
         let mut new = Vec::new();
         let all: Vec<(String, Key<Upstream>)> =
--- a/core/src/upstream.rs
+++ b/core/src/upstream.rs
@@ -346,7 +346,8 @@
         (suspended.count() + 1) * 3 <= self.members.len().max(3) && self.ranked.len() > 1
     }
 
-    /// Updates the slowness of all replicas: the time between tokens relative to the median.
+    /// Updates the slowness of all replicas: the time between tokens relative to the median, or 1 if
+    /// the ratio is at most 1.5 or fewer than three replicas were measured.
     pub fn update_slowness(&mut self, now: Time, arena: &mut Arena<Upstream>) {
         let keys: Vec<_> = self.members.iter().copied().collect();
         let known = keys.iter().filter_map(|k| arena.get(*k)).map(|u| u.token_gap);
