--- a/gateway/src/channel.rs
+++ b/gateway/src/channel.rs
@@ -30,7 +30,8 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 /// Time without acknowledgement of sent data after which a peer counts as gone.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Longest time that a pooled connection stays idle; replicas close idle ones after seconds.
+/// Longest time that a pooled connection stays idle. Replicas close idle connections themselves
+/// after some seconds.
 const MAX_IDLE: Span = Span::millis(2_500);
 /// Most pooled connections of one replica.
 const MAX_IDLE_PER_REPLICA: usize = 6;
--- a/gateway/src/duty/delivery.rs
+++ b/gateway/src/duty/delivery.rs
@@ -14,8 +14,8 @@
 
 /// Shortest time from one delivery of usage batches to the next.
 const MIN_INTERVAL: Duration = Duration::from_millis(500);
-/// Time between deliveries for each gateway of the fleet, so that the leader receives at most 500
-/// datagrams a second.
+/// Least time between deliveries, multiplied by the number of gateways in the fleet. With it the
+/// leader receives at most 500 datagrams a second.
 const INTERVAL_PER_GATEWAY: Duration = Duration::from_millis(2);
 
 /// Delivers usage batches repeatedly and never returns if usage reports are a duty.
--- a/gateway/src/duty/orders.rs
+++ b/gateway/src/duty/orders.rs
@@ -15,11 +15,11 @@
 const SCALING_INTERVAL: Span = Span::millis(500);
 /// Age beyond which an inventory is not used.
 const MAX_INVENTORY_AGE: Span = Span::millis(2_000);
-/// Time from the start of a term to the first order. The store may have lost the entries of live
-/// replicas, which register again within it.
-const REGISTRATION: Span = Span::secs(3);
-/// Share of the needed engines that are ordinary, and so remain if all spot instances are
-/// reclaimed.
+/// Time from the start of a term to the first order. Live replicas whose entries the store may have
+/// lost register again in this time.
+const ORDER_DELAY: Span = Span::secs(3);
+/// Share of the needed engines that must be ordinary instances, which remain when all spot
+/// instances are reclaimed.
 const ORDINARY_SHARE: f64 = 0.0;
 
 impl Term<'_> {
@@ -31,7 +31,7 @@
         }
         self.scaled_at = now;
         let inventory = self.duties.inventory.borrow().clone();
-        let is_early = now.since(self.began) < REGISTRATION && !self.duties.options.is_first_start;
+        let is_early = now.since(self.began) < ORDER_DELAY && !self.duties.options.is_first_start;
         if is_early || now.since(inventory.at) > MAX_INVENTORY_AGE {
             return;
         }
--- a/gateway/src/duty/term.rs
+++ b/gateway/src/duty/term.rs
@@ -28,7 +28,7 @@
 
 /// Time from one check for work to the next.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
-/// Number of failed writes of the journal in a row at which the leader resigns.
+/// Number of consecutive failed writes of the journal at which the leader resigns.
 const MAX_FAILED_WRITES: u32 = 3;
 
 /// State of one term of this gateway.
@@ -44,7 +44,7 @@
     pub(super) failed_writes: u32,
     /// Newest window whose report the platform has accepted.
     pub(super) last_accepted: Window,
-    /// Newest window for which no report is sent.
+    /// Newest window whose report was omitted.
     pub(super) last_omitted: Window,
     pub(super) autoscalers: BTreeMap<String, Autoscaler>,
     pub(super) scaled_at: Time,
@@ -115,8 +115,8 @@
         }
     }
 
-    /// Reads the journal if it is stale, and writes it for this term's era if it is of another one.
-    /// Returns whether the journal is up to date.
+    /// Reads the journal again if `stored` may be out of date, and rewrites it if it belongs to
+    /// another era than this term. Returns whether the journal is up to date.
     async fn ensure_journal(&mut self) -> bool {
         if self.is_stale {
             let stored = with_timeout((self.duties.calls.read)()).await;
--- a/gateway/src/flaw.rs
+++ b/gateway/src/flaw.rs
@@ -1,8 +1,8 @@
 //! Logs malformed entries of the store once, not at each read.
 //!
-//! Other programs write to the store too. An entry that they leave or damage there must affect
-//! nothing else: a read that finds such entries is valid, and each of them is logged and counted
-//! when it appears or when its flaw changes.
+//! Other programs write to the store too. A malformed entry must not affect the others: a read that
+//! finds malformed entries is valid, and each of them is logged and counted when it appears or when
+//! its flaw changes.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -12,7 +12,7 @@
 use crate::log::Line;
 use crate::shared::Shared;
 
-/// Upper bound on tracked entries.
+/// Upper bound on tracked malformed entries; only the number of further ones is logged.
 const MAX_TRACKED: usize = 64;
 
 /// Kind of entry that is malformed.
@@ -62,7 +62,7 @@
 #[derive(Debug, Default)]
 pub struct Tracker {
     flaws: BTreeMap<(Subject, String), Kind>,
-    /// There are more entries than are tracked, and that has been logged.
+    /// Whether the last read found more malformed entries than are tracked.
     has_untracked: bool,
 }
 
@@ -80,20 +80,20 @@
 impl Tracker {
     /// Replaces the tracked flaws with those of a successful read; returns the changes to log.
     pub fn update(&mut self, found: &[Flaw]) -> Changes {
-        let mut now: BTreeMap<(Subject, String), Kind> =
+        let mut current: BTreeMap<(Subject, String), Kind> =
             found.iter().map(|f| ((f.subject, f.key.clone()), f.kind)).collect();
-        let count = now.len();
-        // The first entries in key order are tracked, so that unchanged entries are not logged in
-        // turn.
-        if let Some((cut, _)) = now.iter().nth(MAX_TRACKED) {
+        let count = current.len();
+        // The tracked entries are always the first in key order. If the choice varied between
+        // reads, unchanged entries would be logged again and again.
+        if let Some((cut, _)) = current.iter().nth(MAX_TRACKED) {
             let cut = cut.clone();
-            now.split_off(&cut);
+            current.split_off(&cut);
         }
         let untracked = (count > MAX_TRACKED && !self.has_untracked).then(|| count - MAX_TRACKED);
         self.has_untracked = count > MAX_TRACKED;
-        let appeared = differing(&now, &self.flaws, |before, kind| before != Some(kind));
-        let resolved = differing(&self.flaws, &now, |after, _| after.is_none());
-        self.flaws = now;
+        let appeared = differing(&current, &self.flaws, |before, kind| before != Some(kind));
+        let resolved = differing(&self.flaws, &current, |after, _| after.is_none());
+        self.flaws = current;
         Changes { appeared, resolved, untracked }
     }
 }
--- a/gateway/src/gateway.rs
+++ b/gateway/src/gateway.rs
@@ -45,10 +45,9 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Part of the grace period that is left unused, so that the process exits before it is killed.
 const EXIT_RESERVE: Duration = Duration::from_millis(600);
-
-/// Time before the exit for responses to calls that have none: twice the interval of the checks, so
-/// that they are on their way to callers in any failure domain.
-const LAST_RESPONSES: Duration = Duration::from_millis(200);
+/// Part of the grace period for sending a final response to each call that has none. It is twice
+/// the interval of the checks, so that these responses reach callers in any failure domain.
+const FINAL_RESPONSE_TIME: Duration = Duration::from_millis(200);
 
 /// Responds to a request that is not relayed to a replica.
 pub type Handler = fn(&Shared, &Request<Incoming>) -> Response<Payload>;
@@ -252,7 +251,7 @@
     pub async fn stop(self) {
         let shared = self.shared;
         let began = clock::now();
-        let end = self.grace_period.saturating_sub(EXIT_RESERVE + LAST_RESPONSES);
+        let end = self.grace_period.saturating_sub(EXIT_RESERVE + FINAL_RESPONSE_TIME);
         let (drained, end) = (clock::span(self.drain_delay), clock::span(end));
         shared.gateway.borrow_mut().stop(began, drained, end);
         shared.log(Line::new("stopping").with("calls", shared.calls.get()));
--- a/gateway/src/view.rs
+++ b/gateway/src/view.rs
@@ -31,8 +31,8 @@
 use crate::store::Error;
 use crate::store::READ_TIMEOUT;
 
-/// Upper bound on cached differences: one for each earlier view that peers still have after a
-/// change.
+/// Upper bound on cached differences. After a change there is one for each earlier view that peers
+/// still have.
 const MAX_CACHED_DELTAS: usize = 16;
 
 /// Cache of encoded differences to the newest view, as many peers request the same ones.
