--- a/router/src/body.rs
+++ b/router/src/body.rs
@@ -9,9 +9,10 @@
 
 use crate::reply::Shape;
 
-/// Bytes of the prompt in one block; each block extends the hashed prefix.
+/// Size of a block of the prompt, in bytes. Each hashed prefix is one block longer than the one
+/// before.
 const BLOCK_BYTES: usize = 256;
-/// Most prefixes of a prompt that are hashed.
+/// Upper bound on the hashed prefixes of a prompt.
 const MAX_BLOCKS: usize = 8;
 /// Bytes that are assumed for each token of a prompt.
 const BYTES_PER_TOKEN: usize = 4;
@@ -80,11 +81,11 @@
     }
 }
 
-/// Builds the body for an engine from a caller's: with a stream as its response, with `priority`,
-/// and with `partial` as the beginning of the response.
+/// Builds the body for an engine from a caller's body. It asks for a streamed response, sets
+/// `priority`, and gives `partial` as the beginning of the response.
 ///
-/// On request, engines continue a final assistant message, so that a stream that broke off at
-/// another engine is resumed without repeating a token.
+/// Engines continue a final assistant message if the body asks for it. A stream that broke off at
+/// another engine is thus resumed without repeating a token.
 pub fn prepare_for_engine(body: &Bytes, priority: u8, partial: &str) -> (Shape, Bytes) {
     let Ok(Value::Object(mut fields)) = serde_json::from_slice::<Value>(body) else {
         return (Shape::Chat, body.clone());
--- a/router/src/driver.rs
+++ b/router/src/driver.rs
@@ -32,12 +32,12 @@
 use crate::peer;
 use crate::upstream;
 
-/// Inputs queued for the node; senders wait while the queue is full.
+/// Upper bound on the inputs queued for the node; senders wait while the queue is full.
 const INPUT_CAPACITY: usize = 4_096;
-/// Parts of a response queued for one caller. A call whose queue is full is cancelled; otherwise
-/// one slow reader would take memory without bound.
+/// Upper bound on the parts of a response queued for one caller. A call whose queue is full is
+/// cancelled; without a bound, one slow reader could exhaust the memory.
 const PART_CAPACITY: usize = 1_024;
-/// Inputs handled in one pass of the loop, before it checks whether a tick is due.
+/// Upper bound on the inputs handled before the loop checks whether a tick is due.
 const BATCH_SIZE: usize = 64;
 
 /// A part of the response to a caller.
--- a/router/src/kv.rs
+++ b/router/src/kv.rs
@@ -18,6 +18,7 @@
 
 /// Timeout of a connection attempt, a call and a keep-alive ping.
 const TIMEOUT: Duration = Duration::from_secs(2);
+/// Time from one keep-alive ping to the next while a call is open.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(5);
 
 /// A client of the key-value service, which connects at the first call.
--- a/router/src/metrics.rs
+++ b/router/src/metrics.rs
@@ -14,6 +14,7 @@
 
 use crate::driver::Handle;
 
+/// Time from one sending of all metrics to the next.
 const INTERVAL: Duration = Duration::from_secs(5);
 
 /// The node's counters and gauges at one time, by name and class.
--- a/router/src/peer.rs
+++ b/router/src/peer.rs
@@ -27,10 +27,12 @@
 
 /// Timeout of one message. The node repeats those that must arrive.
 const TIMEOUT: Duration = Duration::from_secs(2);
+/// Timeout of opening a connection to a peer.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Messages in flight to one peer; more are dropped, since a peer that is so slow has no use for
-/// them.
+/// Upper bound on messages in flight to one peer. Further ones are dropped, as they would reach so
+/// slow a peer too late to be of use.
 const MAX_IN_FLIGHT: usize = 256;
+/// Largest message that is accepted, in bytes.
 const MAX_MESSAGE_BYTES: usize = 4 << 20;
 const SECRET_HEADER: &str = "x-peer-secret";
 
--- a/router/src/router.rs
+++ b/router/src/router.rs
@@ -52,8 +52,8 @@
     Ok((listener, bound))
 }
 
-/// Returns the microseconds since 1970, so that a later run of a router has a higher incarnation
-/// unless its host's clock goes back by more than the time between the two starts.
+/// Returns the incarnation of this run: the microseconds since 1970. A later run has a higher one
+/// unless the host's clock goes back by more than the time between the two starts.
 fn incarnation() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(1, |d| d.as_micros() as u64)
 }
--- a/router/src/settings.rs
+++ b/router/src/settings.rs
@@ -35,6 +35,7 @@
     -V, --version            print the version
 ";
 
+/// Prefix of the environment variables that stand for flags.
 const PREFIX: &str = "LABURNUMWHEEL_";
 const FLAGS: [&str; 11] = [
     "name",
@@ -49,6 +50,7 @@
     "metrics",
     "log-level",
 ];
+/// Least length of the peer secret and the operator token, in bytes.
 const MIN_SECRET_BYTES: usize = 8;
 
 /// A problem with one setting.
--- a/router/src/upstream.rs
+++ b/router/src/upstream.rs
@@ -34,7 +34,9 @@
 use crate::reply::Shape;
 use crate::sse::Decoder;
 
+/// Timeout of opening a connection to an upstream.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Longest time that a pooled connection stays idle.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 /// Largest response that is buffered, in bytes.
 const MAX_RESPONSE_BYTES: usize = 8 << 20;
