--- a/replay/src/baseline.rs
+++ b/replay/src/baseline.rs
@@ -141,8 +141,8 @@
 
     /// Retries a request whose attempt failed, or ends it.
     ///
-    /// It is retried once, at another replica, if it did not run, or if it is idempotent and none
-    /// of its answer was delivered.
+    /// A request is retried once, at another replica, if it did not run, or if it is idempotent
+    /// and no part of its answer was delivered.
     fn fail(&mut self, attempt: AttemptId, failure: Failure) -> Vec<Action> {
         let Some(open) = self.close(attempt) else {
             return Vec::new();
--- a/replay/src/network.rs
+++ b/replay/src/network.rs
@@ -189,7 +189,7 @@
     /// Pairs of a sender and a receiver whose connection drops all messages until the sender
     /// reconnects.
     pub silent: BTreeSet<(usize, usize)>,
-    /// Number of messages between routers of which the last is lost; 0 if none is.
+    /// Loses each message between routers whose number is a multiple of this; 0 loses none.
     pub drop_every: u64,
     /// Number of bytes and of messages that routers sent each other.
     pub traffic: (u64, u64),
--- a/replay/src/simulation.rs
+++ b/replay/src/simulation.rs
@@ -160,7 +160,7 @@
     pub generated: u64,
     /// Tokens in complete answers.
     pub goodput: u64,
-    /// Upper bound on the tokens that the engines could have generated for the trace.
+    /// Upper bound on the tokens that engines can generate for the trace.
     pub max_goodput: u64,
     /// Counters of each running router; empty for baselines.
     pub stats: Vec<Stats>,
--- a/replay/src/simulation/callers.rs
+++ b/replay/src/simulation/callers.rs
@@ -15,8 +15,8 @@
 use crate::caller::Call;
 use crate::caller::End;
 
-/// Time after the end of its class's patience at which a caller leaves. An answer that is on its
-/// way when the patience ends still counts.
+/// Time from the end of a caller's patience until the caller leaves, so that an answer on its way
+/// when the patience ends still counts.
 const PATIENCE_EXTENSION: Span = Span::millis(500);
 
 impl Simulation<'_> {
--- a/replay/src/simulation/upstreams.rs
+++ b/replay/src/simulation/upstreams.rs
@@ -17,7 +17,7 @@
 use crate::fake::Job;
 use crate::fake::Output;
 
-/// Average number of cache events of which one is lost.
+/// Mean interval between lost cache events, in events.
 const CACHE_LOSS_INTERVAL: u32 = 20;
 /// Time until a router learns that its connection was refused.
 const CONNECTION_REFUSED_DELAY: Span = Span::millis(1);
--- a/replay/tests/limits.rs
+++ b/replay/tests/limits.rs
@@ -46,7 +46,9 @@
     taken.count() as f64 / seconds as f64
 }
 
+/// Weights of the routers when all get the same number of requests.
 const EVEN: [u64; 9] = [1; 9];
+/// Weights of the routers when one gets most of the requests and two get none.
 const UNEVEN: [u64; 9] = [20, 5, 1, 1, 1, 1, 1, 0, 0];
 
 /// An organisation submits four times its limit, evenly or mostly at one router. It must get its
--- a/replay/tests/traces.rs
+++ b/replay/tests/traces.rs
@@ -105,6 +105,7 @@
 /// have slightly less goodput in exchange; docs/design/replay.md has the figures and the cause.
 #[test]
 fn protected_classes_attain_at_least_as_much_as_under_the_baselines() {
+    /// Least goodput of the core, as a share of the goodput of each baseline.
     const GOODPUT: f64 = 0.97;
     for name in ["auction", "kitchen"] {
         // Arrange
