--- a/core/src/cell.rs
+++ b/core/src/cell.rs
@@ -1,10 +1,10 @@
 //! Assigns each group of a large fleet to a cell, a subset of the routers.
 //!
-//! If every router used every replica, each router would report its demand to all others, and
-//! their shares of a replica would be smaller than a slot. In a fleet of more than
-//! [`MAX_ROUTERS_WITHOUT_CELLS`] routers, the cell of a group consists of the routers nearest to
-//! it by rendezvous hashing; its size follows the group's share of all slots. Callers are sent to
-//! the cell of their model, and routers report demand only within cells. A router outside the cell
+//! If every router used every replica, each router would report its demand to all others, and their
+//! shares of a replica would be smaller than a slot. In a fleet of more than
+//! [`MAX_ROUTERS_WITHOUT_CELLS`] routers, the cell of a group consists of the routers nearest to it
+//! by rendezvous hashing; its size follows the group's share of all slots. Callers are sent to the
+//! cell of their model, and routers report demand only within cells. A router outside the cell
 //! still serves callers that reach it, with one slot.
 
 use std::collections::BTreeMap;
--- a/core/src/entry.rs
+++ b/core/src/entry.rs
@@ -49,10 +49,9 @@
 
 /// Builds the answer for one caller; `None` if there are no candidates.
 ///
-/// The order of the addresses is a weighted random permutation that prefers routers in the
-/// caller's failure domain and routers with little demand. The second address is in another
-/// failure domain if there is one, so that the loss of a domain costs a caller only one failed
-/// connection.
+/// The order of the addresses is a weighted random permutation that prefers routers in the caller's
+/// failure domain and routers with little demand. The second address is in another failure domain
+/// if there is one, so that the loss of a domain costs a caller only one failed connection.
 pub fn answer(
     candidates: &[Candidate<'_>],
     failure_domain: Option<&str>,
--- a/core/src/idempotency.rs
+++ b/core/src/idempotency.rs
@@ -1,7 +1,7 @@
 //! Deduplicates requests that may run at most once, by idempotency keys whose home is this router.
 //!
-//! A key is `{router}.{incarnation}.{epoch}~{suffix}`. An entry answer gives, for each address,
-//! the part up to the tilde, so each key names the one incarnation that may run its request and no
+//! A key is `{router}.{incarnation}.{epoch}~{suffix}`. An entry answer gives, for each address, the
+//! part up to the tilde, so each key names the one incarnation that may run its request and no
 //! other owner has to be fenced. The keys of an epoch are kept for one more epoch and are then
 //! deleted together. A key of a deleted epoch is refused, so a message that is delayed beyond the
 //! retention of its key never runs a second time.
--- a/core/src/member/detection.rs
+++ b/core/src/member/detection.rs
@@ -23,8 +23,8 @@
 
 impl Members {
     /// Extends the deadlines of other routers by the time for which this process was paused.
-    /// Answers may lie unread in its sockets; without the extension, it would suspect sound
-    /// routers or declare them dead, and gossip that to all.
+    /// Answers may lie unread in its sockets; without the extension, it would suspect sound routers
+    /// or declare them dead, and gossip that to all.
     pub(super) fn extend_deadlines(&mut self, now: Time) {
         let pause = now.since(self.last_tick);
         self.last_tick = now;
@@ -75,8 +75,8 @@
 
     /// Repeats a probe over a new connection and through other routers.
     ///
-    /// A device between two routers may drop the state of their connection, which then stays
-    /// silent while new connections work.
+    /// A device between two routers may drop the state of their connection, which then stays silent
+    /// while new connections work.
     fn retry_probe(&mut self, sequence: u64, rng: &mut SmallRng, out: &mut Vec<Action>) {
         let Some(probe) = self.probes.get_mut(&sequence) else {
             return;
--- a/core/src/node/dispatch.rs
+++ b/core/src/node/dispatch.rs
@@ -206,9 +206,9 @@
     /// The stream of a lower tier to preempt for `key`, and its upstream.
     ///
     /// In a saturated group the request would wait inside an engine until a slot is free: on
-    /// average the mean time of an attempt divided by the slots of a replica. If this endangers
-    /// its first-token target, a stream of this router is preempted. The stream resumes later from
-    /// its offset, so delivered tokens are not wasted and only its prompt is computed again.
+    /// average the mean time of an attempt divided by the slots of a replica. If this endangers its
+    /// first-token target, a stream of this router is preempted. The stream resumes later from its
+    /// offset, so delivered tokens are not wasted and only its prompt is computed again.
     fn choose_victim(
         &self,
         now: Time,
--- a/core/src/node/mod.rs
+++ b/core/src/node/mod.rs
@@ -1,8 +1,8 @@
 //! State machine of one router: takes events and returns actions.
 //!
 //! [`Node`] owns the queues, the replicas, the requests in progress and the view of the other
-//! routers; the submodules handle its events and periodic tasks. It does no I/O and reads no
-//! clock, so that the same settings and events always give the same actions.
+//! routers; the submodules handle its events and periodic tasks. It does no I/O and reads no clock,
+//! so that the same settings and events always give the same actions.
 
 mod attempt;
 mod control;
--- a/core/src/node/request.rs
+++ b/core/src/node/request.rs
@@ -369,8 +369,8 @@
 
     /// Stops a request whose caller has disconnected.
     ///
-    /// A request with an idempotency key continues, because its caller is expected to come back
-    /// for the answer. So does a non-idempotent request that was sent, because stopping it half-way
+    /// A request with an idempotency key continues, because its caller is expected to come back for
+    /// the answer. So does a non-idempotent request that was sent, because stopping it half-way
     /// would leave its effect unknown.
     pub(super) fn on_caller_gone(&mut self, now: Time, id: RequestId) {
         self.forwards.remove(&id);
--- a/core/src/order.rs
+++ b/core/src/order.rs
@@ -105,8 +105,8 @@
         Step::Write(revision, Value { holder: holder.to_owned(), write: self.writes })
     }
 
-    /// Records the result of a read. After a lost reply, the read shows whether this router's
-    /// write took effect; the lease is then valid from the time when that write was sent.
+    /// Records the result of a read. After a lost reply, the read shows whether this router's write
+    /// took effect; the lease is then valid from the time when that write was sent.
     pub fn on_read(&mut self, now: Time, holder: &str, found: Option<(Value, i64)>) {
         let revision = found.as_ref().map_or(0, |(_, r)| *r);
         if self.last_seen.is_none_or(|(r, _)| r != revision) {
--- a/core/src/peer.rs
+++ b/core/src/peer.rs
@@ -28,8 +28,8 @@
     pub digest: u64,
 }
 
-/// Demand of a router for capacity and limits that it shares with others, and the upstreams that
-/// it knows to be leaving.
+/// Demand of a router for capacity and limits that it shares with others, and the upstreams that it
+/// knows to be leaving.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Demand {
     /// Smoothed number of requests at upstreams and in queues, by group and tier, in sixteenths of
--- a/core/src/queue.rs
+++ b/core/src/queue.rs
@@ -374,9 +374,9 @@
     /// Estimated wait of a new request, by the measured dispatch rate.
     ///
     /// Ahead of the request are the queued tokens of higher tiers, of the other classes in its tier
-    /// and, in its own class, those that the round robin serves first. Future requests of
-    /// higher tiers are ignored: bursts end, and requests refused because of a burst that has just
-    /// ended would leave engines idle.
+    /// and, in its own class, those that the round robin serves first. Future requests of higher
+    /// tiers are ignored: bursts end, and requests refused because of a burst that has just ended
+    /// would leave engines idle.
     pub fn estimated_wait(&self, now: Time, flow: Flow) -> Span {
         let mut ahead = 0.0;
         for (key, other) in &self.classes {
