--- a/router/src/api.rs
+++ b/router/src/api.rs
@@ -105,7 +105,7 @@
     let response = match answer.flatten() {
         Some(answer) => reply::json(StatusCode::OK, &answer),
         None => {
-            let mut error = Error::not_run("no_router", "no router accepts callers now");
+            let mut error = Error::not_run("no_router", "no router takes callers now");
             error.retry_after_ms = Some(1_000);
             reply::error(StatusCode::SERVICE_UNAVAILABLE, &error)
         }
@@ -139,11 +139,7 @@
             let message = format!("the body is over {MAX_BODY_BYTES} bytes");
             Err(refuse(StatusCode::PAYLOAD_TOO_LARGE, "body_too_large", &message))
         }
-        Ok(Err(_)) => Err(refuse(
-            StatusCode::BAD_REQUEST,
-            "body_broken",
-            "the body is incomplete or malformed",
-        )),
+        Ok(Err(_)) => Err(refuse(StatusCode::BAD_REQUEST, "body_broken", "the body broke off")),
         Err(_) => {
             let message = "the body did not arrive in time";
             Err(refuse(StatusCode::REQUEST_TIMEOUT, "body_too_slow", message))
@@ -305,9 +301,8 @@
                     Some((reply::error_event(&Error::from_refusal(&r)), None))
                 }
                 None => {
-                    let error = Error::incomplete(
-                        "the router cancelled the stream; it may have been read too slowly",
-                    );
+                    let error =
+                        Error::incomplete("the stream was given up; was it read too slowly?");
                     Some((reply::error_event(&error), None))
                 }
             }
--- a/router/src/reply.rs
+++ b/router/src/reply.rs
@@ -68,16 +68,16 @@
         Reason::UnknownClass => "no class has this name",
         Reason::UnknownTarget => "no such model or service",
         Reason::OverLimit => "the organisation is over its limit",
-        Reason::Overloaded => "the request could not start within its class's patience",
-        Reason::Shed => "the request was shed in favour of a higher tier",
+        Reason::Overloaded => "it could not start within its class's patience",
+        Reason::Shed => "it gave way to a higher tier",
         Reason::NoUpstream => "no upstream serves this",
         Reason::UpstreamFailed => "the upstream failed",
         Reason::NotServing => "this router is starting or stopping; ask for an entry again",
         Reason::KeyWithoutHome => "begin the key with the key_prefix of an entry answer",
-        Reason::KeyReused => "this key was used before, with a different request",
-        Reason::KeyExpired => "this key is too old for the outcome of its request to be known",
+        Reason::KeyReused => "this key came with another request before",
+        Reason::KeyExpired => "this key is too old to tell what became of it",
         Reason::HomeGone => "the router that owns this key is gone",
-        Reason::KeyTableFull => "the table of idempotency keys is full",
+        Reason::KeyTableFull => "too many keys are remembered",
     }
 }
 
--- a/standin/src/engine.rs
+++ b/standin/src/engine.rs
@@ -207,7 +207,7 @@
         return response;
     };
     if fence < orders.fence {
-        let mut response = Response::new(full("an order with a higher fencing token was executed"));
+        let mut response = Response::new(full("a newer orderer was here"));
         *response.status_mut() = StatusCode::CONFLICT;
         return response;
     }
